--- a/node/limit_book.cc
+++ b/node/limit_book.cc
@@ -8,13 +8,13 @@
 
 using std::chrono::seconds;
 
-// A limit that nobody has named for this long is over.
-constexpr Duration kLimitLife = seconds(60);
-// Hosts tell the owner this often that a limit is still named.
+// A limit expires if no answer names it for this long.
+constexpr Duration kLimitTtl = seconds(60);
+// Interval at which hosts report to the owner that a limit is still named.
 constexpr Duration kRefreshInterval = seconds(5);
-// In rows: a limit that was lifted.
+// Value of a lifted limit in rows.
 constexpr double kLifted = -1;
-constexpr size_t kMostLives = 4096;
+constexpr size_t kMaxIncarnations = 4096;
 
 }  // namespace
 
@@ -25,9 +25,9 @@
   entry.known_since = now;
 }
 
-// A lower limit counts at once, whoever says it. A higher one, or none, may be
-// in an answer that is older than what is known, unless its request was sent
-// later.
+// A lower limit always applies at once. A higher one, or a lifted one, applies
+// only if its request was sent after the last change: otherwise the answer may
+// be older than the known limit.
 bool LimitBook::TakeReported(const std::string& server,
                              const ReportedLimit& reported, TimePoint sent_at,
                              TimePoint now) {
@@ -35,8 +35,8 @@
   if (reported.kind == Kind::kUnknown || reported.kind == Kind::kMalformed) {
     return false;
   }
-  const auto life = lives_.find(server);
-  if (life != lives_.end() && sent_at < life->second) return false;
+  const auto start = starts_.find(server);
+  if (start != starts_.end() && sent_at < start->second) return false;
   const bool is_named = reported.kind == Kind::kNamed;
   auto it = entries_.find(server);
   if (it == entries_.end()) {
@@ -61,9 +61,9 @@
   return true;
 }
 
-void LimitBook::Forget(const std::string& server, TimePoint now) {
-  if (lives_.size() >= kMostLives) lives_.clear();
-  lives_[server] = now;
+void LimitBook::Remove(const std::string& server, TimePoint now) {
+  if (starts_.size() >= kMaxIncarnations) starts_.clear();
+  starts_[server] = now;
   const auto it = entries_.find(server);
   if (it == entries_.end()) return;
   if (it->second.per_second) changed_.push_back(server);
@@ -74,9 +74,9 @@
   for (auto it = entries_.begin(); it != entries_.end();) {
     const auto next = std::next(it);
     Entry& entry = it->second;
-    if (now - std::max(entry.named_at, entry.known_since) > kLimitLife) {
+    if (now - std::max(entry.named_at, entry.known_since) > kLimitTtl) {
       if (entry.per_second) {
-        // Kept for another while, so that all hosts are told.
+        // Kept for another TTL, so that plans announce the change to all hosts.
         Set(it->first, entry, std::nullopt, now);
         unnumbered_.insert(it->first);
       } else {
@@ -105,11 +105,11 @@
   return it == entries_.end() ? Duration{0} : now - it->second.named_at;
 }
 
-// ---- Between the hosts ----
+// ---- Reports and plans between hosts ----
 
-Json LimitBook::RowJson(const std::string& server, const Entry& entry,
-                        uint64_t version, const EngineList& servers,
-                        TimePoint now) {
+Json LimitBook::RowToJson(const std::string& server, const Entry& entry,
+                          uint64_t version, const EngineList& servers,
+                          TimePoint now) {
   const auto listed = servers.find(server);
   const int64_t started =
       listed == servers.end() ? 0 : ToUnixMillis(listed->second.started_at);
@@ -117,7 +117,7 @@
                       ToMillis(now - entry.named_at), version});
 }
 
-std::optional<LimitBook::Row> LimitBook::ReadRow(const Json& json) {
+std::optional<LimitBook::Row> LimitBook::ParseRow(const Json& json) {
   const bool is_row = json.is_array() && json.size() == 5 &&
                       json[0].is_string() && json[1].is_number_integer() &&
                       json[2].is_number() && json[3].is_number_integer() &&
@@ -129,12 +129,13 @@
   const double per_second = json[2].get<double>();
   if (per_second >= 0) row.per_second = per_second;
   row.age = std::chrono::milliseconds(
-      std::clamp<int64_t>(json[3].get<int64_t>(), 0, ToMillis(kLimitLife)));
+      std::clamp<int64_t>(json[3].get<int64_t>(), 0, ToMillis(kLimitTtl)));
   row.version = json[4].get<uint64_t>();
   return row;
 }
 
-bool LimitBook::IsOfEarlierLife(const Row& row, const EngineList& servers) {
+bool LimitBook::IsOfEarlierIncarnation(const Row& row,
+                                       const EngineList& servers) {
   const auto listed = servers.find(row.server);
   return listed != servers.end() &&
          StartedAfter(listed->second.started_at, row.started_at);
@@ -150,7 +151,7 @@
   Json rows = Json::array();
   for (auto& [server, entry] : entries_) {
     if (entry.token != token) {
-      // The version is of another owner.
+      // Another owner assigned the version.
       entry.base = 0;
       entry.is_own = entry.is_own || entry.per_second.has_value();
     }
@@ -160,9 +161,9 @@
     if (!entry.is_own && !is_due) continue;
     entry.is_unsent = false;
     entry.refreshed_at = now;
-    rows.push_back(RowJson(server, entry,
-                           entry.is_own ? entry.base : entry.version, servers,
-                           now));
+    rows.push_back(RowToJson(server, entry,
+                             entry.is_own ? entry.base : entry.version, servers,
+                             now));
   }
   return rows;
 }
@@ -171,10 +172,10 @@
                            TimePoint now) {
   if (!rows.is_array()) return;
   for (const Json& json : rows) {
-    const std::optional<Row> row = ReadRow(json);
-    // Of a server that left, a host may not know that yet.
+    const std::optional<Row> row = ParseRow(json);
+    // The host may not have recorded yet that the server left.
     if (!row || !servers.contains(row->server)) continue;
-    if (IsOfEarlierLife(*row, servers)) continue;
+    if (IsOfEarlierIncarnation(*row, servers)) continue;
     const auto known = entries_.find(row->server);
     if (known == entries_.end() && !row->per_second) continue;
     Entry& entry = entries_[row->server];
@@ -188,7 +189,7 @@
                           row->per_second < entry.per_second;
     const bool is_on_newest =
         row->version != 0 && row->version == entry.version;
-    // Of another owner's version only what is safe counts.
+    // Against another owner's version only a lower limit is applied.
     const bool is_safe = row->version == 0 && is_lower;
     if (!is_first && !is_on_newest && !is_safe) continue;
     Set(row->server, entry, row->per_second, now);
@@ -197,20 +198,20 @@
   }
 }
 
-void LimitBook::NumberRows(uint64_t& last_news) {
+void LimitBook::NumberRows(uint64_t& last_update) {
   for (const std::string& server : std::exchange(unnumbered_, {})) {
     const auto it = entries_.find(server);
     if (it == entries_.end()) continue;
-    it->second.version = ++last_news;
+    it->second.version = ++last_update;
     it->second.is_own = false;
     it->second.is_unsent = false;
   }
 }
 
-void LimitBook::RestartRows(uint64_t& last_news) {
+void LimitBook::RestartRows(uint64_t& last_update) {
   unnumbered_.clear();
   for (auto& [server, entry] : entries_) unnumbered_.insert(server);
-  NumberRows(last_news);
+  NumberRows(last_update);
 }
 
 Json LimitBook::PlanRows(uint64_t since, const EngineList& servers,
@@ -218,7 +219,7 @@
   Json rows = Json::array();
   for (const auto& [server, entry] : entries_) {
     if (entry.version <= since) continue;
-    rows.push_back(RowJson(server, entry, entry.version, servers, now));
+    rows.push_back(RowToJson(server, entry, entry.version, servers, now));
   }
   return rows;
 }
@@ -227,8 +228,8 @@
                          const EngineList& servers, TimePoint now) {
   if (!rows.is_array()) return;
   for (const Json& json : rows) {
-    const std::optional<Row> row = ReadRow(json);
-    if (!row || IsOfEarlierLife(*row, servers)) continue;
+    const std::optional<Row> row = ParseRow(json);
+    if (!row || IsOfEarlierIncarnation(*row, servers)) continue;
     const auto known = entries_.find(row->server);
     if (known == entries_.end() && !row->per_second) continue;
     Entry& entry = entries_[row->server];
--- a/node/limit_book.h
+++ b/node/limit_book.h
@@ -15,53 +15,54 @@
 
 namespace applehall {
 
-// What one host knows of the limits of backend servers, from the answers that
-// it got and from the placement owner.
+// Registry of one host for the rate limits of backend servers, as named in
+// answers to this host and in plans of the placement owner.
 //
-// Answers overtake each other, and those of many hosts reach the owner in any
-// order. So each limit has the owner's version of it, a host reports what an
-// answer says together with the version that it knew when it sent the request,
-// and the owner takes only words on its newest version.
+// Answers arrive out of order, and so do the reports of many hosts at the
+// owner. Therefore the owner assigns each limit a version. A host reports the
+// limit of an answer together with the last version that it received, and the
+// owner applies only reports about its newest version.
 class LimitBook {
  public:
-  // ---- What answers say. Not thread-safe, as all below. ----
-  // An answer of `server` to a request that was sent at `sent_at`. True if that
-  // changes its limit here.
+  // ---- Answers of servers. Not thread-safe, as all below. ----
+  // Applies the limit in an answer of `server` to a request that was sent at
+  // `sent_at`. Returns true if the limit changes here.
   bool TakeReported(const std::string& server, const ReportedLimit& reported,
                     TimePoint sent_at, TimePoint now);
-  // It left, or what is listed under its id is a later life: a limit ends with
-  // the life that named it.
-  void Forget(const std::string& server, TimePoint now);
-  // Drops limits that nobody has named for a long time; at the owner, and where
-  // none is heard.
+  // Removes a server that left or restarted under its id: a limit applies only
+  // to the incarnation that named it.
+  void Remove(const std::string& server, TimePoint now);
+  // Lifts limits that no answer has named for a long time. For the owner, and
+  // for hosts that reach no owner.
   void Expire(TimePoint now);
 
-  // ---- What is known. ----
-  // Requests a second; nothing if it names no limit.
+  // ---- Lookup. ----
+  // Returns the limit in requests a second; nothing if the server has none.
   std::optional<double> Find(const std::string& server) const;
-  // All of them, by server.
+  // Returns all limits, by server.
   std::map<std::string, double> Limits() const;
   bool empty() const { return entries_.empty(); }
-  // Servers whose limit has changed since the last call.
+  // Returns the servers whose limit has changed since the last call.
   std::vector<std::string> TakeChanged() { return std::exchange(changed_, {}); }
-  // Since its limit was last named here or by the owner.
+  // Returns the time since the limit was last named in an answer or a plan.
   Duration Age(const std::string& server, TimePoint now) const;
 
-  // ---- Between the hosts. ----
-  // Rows of the report to the owner under `token`; empty if it knows all.
+  // ---- Reports and plans between hosts. ----
+  // Returns the rows to report to the owner under `token`; empty if none.
   Json ReportRows(FencingToken token, const EngineList& servers, TimePoint now);
-  // Something in them cannot wait for the next regular report.
+  // True if a row must not wait for the next regular report.
   bool HasNewRows() const;
-  // The rows of a host's report, at the owner.
+  // Applies the rows of a host's report, at the owner.
   void TakeReport(const Json& rows, const EngineList& servers, TimePoint now);
-  // Numbers what has changed since the last call among the owner's news; the
-  // last number given is `last_news`.
-  void NumberRows(uint64_t& last_news);
-  // Numbers all that is known, for a new owner's first plans.
-  void RestartRows(uint64_t& last_news);
-  // The rows of a plan with the news after `since`.
+  // Assigns the next update numbers of the owner to the limits that changed
+  // since the last call. `last_update` is the last number assigned.
+  void NumberRows(uint64_t& last_update);
+  // Assigns new update numbers to all limits, for the first plans of a new
+  // owner.
+  void RestartRows(uint64_t& last_update);
+  // Returns the rows of a plan with the updates after `since`.
   Json PlanRows(uint64_t since, const EngineList& servers, TimePoint now) const;
-  // The rows of a plan of the owner under `token`.
+  // Applies the rows of a plan of the owner under `token`.
   void TakePlan(const Json& rows, FencingToken token, const EngineList& servers,
                 TimePoint now);
 
@@ -69,15 +70,15 @@
 
  private:
   struct Entry {
-    std::optional<double> per_second;  // Nothing: it named one before.
-    TimePoint known_since;             // This value.
-    TimePoint named_at;                // Last time that somebody was told it.
-    FencingToken token = 0;            // The owner's whose version this is.
-    uint64_t version = 0;              // Zero: no owner knows it yet.
-    uint64_t base = 0;       // The version that an own observation is about.
+    std::optional<double> per_second;  // Nothing: the limit was lifted.
+    TimePoint known_since;             // Last change of `per_second`.
+    TimePoint named_at;                // Last answer to any host that named it.
+    FencingToken token = 0;            // Of the owner that assigned `version`.
+    uint64_t version = 0;              // Zero: no owner assigned one yet.
+    uint64_t base = 0;       // Last version before an observation of this host.
     bool is_own = false;     // Observed here, not confirmed by the owner.
-    bool is_unsent = false;  // And in no report yet.
-    TimePoint refreshed_at;  // Told the owner that it is still named.
+    bool is_unsent = false;  // Observed here, not reported yet.
+    TimePoint refreshed_at;  // Last report to the owner that it is still named.
   };
   struct Row {
     std::string server;
@@ -87,20 +88,21 @@
     uint64_t version = 0;
   };
 
-  static std::optional<Row> ReadRow(const Json& json);
-  static Json RowJson(const std::string& server, const Entry& entry,
-                      uint64_t version, const EngineList& servers,
-                      TimePoint now);
-  // Of a life of the server that is over, by the listing.
-  static bool IsOfEarlierLife(const Row& row, const EngineList& servers);
+  static std::optional<Row> ParseRow(const Json& json);
+  static Json RowToJson(const std::string& server, const Entry& entry,
+                        uint64_t version, const EngineList& servers,
+                        TimePoint now);
+  // True if the row is about an incarnation older than the listed one.
+  static bool IsOfEarlierIncarnation(const Row& row, const EngineList& servers);
   void Set(const std::string& server, Entry& entry,
            std::optional<double> per_second, TimePoint now);
 
   std::map<std::string, Entry> entries_;
-  // Answers to requests that were sent before are of an earlier life.
-  std::map<std::string, TimePoint> lives_;
+  // Start of the present incarnation by server. Answers to requests that were
+  // sent earlier are ignored.
+  std::map<std::string, TimePoint> starts_;
   std::vector<std::string> changed_;
-  std::set<std::string> unnumbered_;  // Changed since NumberRows().
+  std::set<std::string> unnumbered_;  // Changed since the last NumberRows().
 };
 
 }  // namespace applehall
--- a/node/limit_keeper.cc
+++ b/node/limit_keeper.cc
@@ -12,50 +12,51 @@
 
 using std::chrono::milliseconds;
 
-// Asks of one host are gathered for this long, and the first goes at once.
-constexpr Duration kAskSpacing = milliseconds(20);
-// On its way for longer, a permit may not be used any more: the host may have
-// stood still, and the owner counted it long ago.
-constexpr Duration kPermitLife = milliseconds(250);
-constexpr size_t kMostOpenAsks = 4096;
-// When to look again where the owner does not answer.
-constexpr Duration kAskAgain = milliseconds(100);
-
-// Keys of asks and answers. Rows are arrays to keep them short.
+// Permit requests of one host are batched for this long. The first is sent at
+// once.
+constexpr Duration kRequestInterval = milliseconds(20);
+// A permit that was in transit for longer must not be used: the host may have
+// been suspended, and the owner counted the permit long ago.
+constexpr Duration kPermitTtl = milliseconds(250);
+constexpr size_t kMaxOpenRequests = 4096;
+// Retry delay if the owner does not answer.
+constexpr Duration kRetryInterval = milliseconds(100);
+
+// Keys of permit requests and answers. Rows are arrays to keep them short.
 constexpr char kToken[] = "k";
 constexpr char kAddress[] = "p";
-constexpr char kAsks[] = "a";
+constexpr char kRequests[] = "a";
 constexpr char kAnswers[] = "g";
 
-// ID, server, caller, worth, is background, patience in ms.
-Json AskRow(const PermitAsk& ask) {
-  return Json::array({ask.id, ask.server, ask.caller, ask.worth,
-                      ask.is_background, ToMillis(ask.patience)});
+// ID, server, caller, worth, is background, maximum wait in ms.
+Json RequestToJson(const PermitAsk& request) {
+  return Json::array({request.id, request.server, request.caller, request.worth,
+                      request.is_background, ToMillis(request.patience)});
 }
 
-std::optional<PermitAsk> ReadAsk(const Json& row) {
-  const bool is_ask = row.is_array() && row.size() == 6 &&
-                      row[0].is_number_unsigned() && row[1].is_string() &&
-                      row[2].is_string() && row[3].is_number() &&
-                      row[4].is_boolean() && row[5].is_number_integer();
-  if (!is_ask) return std::nullopt;
-  PermitAsk ask;
-  ask.id = row[0].get<uint64_t>();
-  ask.server = row[1].get<std::string>();
-  ask.caller = row[2].get<std::string>();
-  ask.worth = row[3].get<double>();
-  ask.is_background = row[4].get<bool>();
-  ask.patience = milliseconds(std::max<int64_t>(0, row[5].get<int64_t>()));
-  return ask;
+std::optional<PermitAsk> ParseRequest(const Json& row) {
+  const bool is_request = row.is_array() && row.size() == 6 &&
+                          row[0].is_number_unsigned() && row[1].is_string() &&
+                          row[2].is_string() && row[3].is_number() &&
+                          row[4].is_boolean() && row[5].is_number_integer();
+  if (!is_request) return std::nullopt;
+  PermitAsk request;
+  request.id = row[0].get<uint64_t>();
+  request.server = row[1].get<std::string>();
+  request.caller = row[2].get<std::string>();
+  request.worth = row[3].get<double>();
+  request.is_background = row[4].get<bool>();
+  request.patience = milliseconds(std::max<int64_t>(0, row[5].get<int64_t>()));
+  return request;
 }
 
 // ID, is granted, waited in ms, retry after in ms.
-Json AnswerRow(const PermitAnswer& answer) {
+Json AnswerToJson(const PermitAnswer& answer) {
   return Json::array({answer.id, answer.is_granted, ToMillis(answer.waited),
                       ToMillis(answer.retry_after)});
 }
 
-std::optional<PermitAnswer> ReadAnswer(const Json& row) {
+std::optional<PermitAnswer> ParseAnswer(const Json& row) {
   const bool is_answer = row.is_array() && row.size() == 4 &&
                          row[0].is_number_unsigned() && row[1].is_boolean() &&
                          row[2].is_number_integer() &&
@@ -84,27 +85,27 @@
         .With("text", reported.text);
     return;
   }
-  const std::optional<double> before = book_.Find(server);
-  if (!book_.TakeReported(server, reported, sent_at, context_.now)) return;
-  LogEvent(LogLevel::kInfo, "server_limit_heard")
+  const std::optional<double> before = registry_.Find(server);
+  if (!registry_.TakeReported(server, reported, sent_at, context_.now)) return;
+  LogEvent(LogLevel::kInfo, "server_limit_changed")
       .With("server", server)
       .With("per_second", reported.per_second)
-      .With("named", book_.Find(server) ? "yes" : "no")
+      .With("named", registry_.Find(server) ? "yes" : "no")
       .With("before", before.value_or(-1))
       .With("sent_ms_ago", ToMillis(context_.now - sent_at));
   ApplyChanges();
 }
 
-// The ledger and the permits at hand follow what is known.
+// Applies changed limits to the ledger and to the permits of this host.
 void LimitKeeper::ApplyChanges() {
-  for (const std::string& server : book_.TakeChanged()) {
-    const std::optional<double> limit = book_.Find(server);
+  for (const std::string& server : registry_.TakeChanged()) {
+    const std::optional<double> limit = registry_.Find(server);
     context_.metrics.Count("server_limit_changes_total");
     LogEvent(LogLevel::kInfo, limit ? "server_limited" : "server_unlimited")
         .With("server", server)
         .With("per_second", limit.value_or(0))
-        .With("named_ms_ago", ToMillis(book_.Age(server, context_.now)))
-        .With("owner", is_owner_heard_ ? owner_.host : std::string("none"));
+        .With("named_ms_ago", ToMillis(registry_.Age(server, context_.now)))
+        .With("owner", is_owner_reachable_ ? owner_.host : std::string("none"));
     context_.view.Hold(server, {});
     if (!limit) {
       gate_.Forget(server);
@@ -116,14 +117,14 @@
 }
 
 void LimitKeeper::Forget(const std::string& server) {
-  book_.Forget(server, context_.now);
+  registry_.Remove(server, context_.now);
   ApplyChanges();
 }
 
 std::string LimitKeeper::Describe(const std::string& server) const {
-  return absl::StrFormat("%s takes %.3g requests a second, named %d ms ago",
-                         server, book_.Find(server).value_or(0),
-                         ToMillis(book_.Age(server, context_.now)));
+  return absl::StrFormat("%s accepts %.3g requests a second, named %d ms ago",
+                         server, registry_.Find(server).value_or(0),
+                         ToMillis(registry_.Age(server, context_.now)));
 }
 
 // ---- Permits ----
@@ -131,47 +132,47 @@
 LimitKeeper::Permit LimitKeeper::Acquire(const std::string& server,
                                          const PermitRequest& wanted) {
   if (gate_.TakeSpare(server, context_.now)) return Permit::kGranted;
-  if (!ledger_ && !is_owner_heard_) {
-    const int hosts = told_hosts_ > 0 ? told_hosts_ : kAssumedHosts;
+  if (!ledger_ && !is_owner_reachable_) {
+    const int hosts = known_hosts_ > 0 ? known_hosts_ : kAssumedHosts;
     const bool is_taken =
-        gate_.TryAlone(server, book_.Find(server).value_or(0), hosts,
+        gate_.TryAlone(server, registry_.Find(server).value_or(0), hosts,
                        context_.random.Unit(), context_.now);
     context_.metrics.Count(is_taken ? "server_limit_alone_total"
                                     : "server_limit_alone_held_total");
     return is_taken ? Permit::kGranted : Permit::kDenied;
   }
-  if (asks_.size() >= kMostOpenAsks) return Permit::kDenied;
-  PermitAsk ask;
-  ask.host = context_.settings.self.host;
-  ask.id = ++last_ask_;
-  ask.server = server;
-  ask.caller = wanted.caller;
-  ask.worth = wanted.worth;
-  ask.is_background = wanted.is_background;
-  ask.patience = wanted.patience;
-  asks_[ask.id] = {wanted.handle, server, context_.now,
-                   context_.now + wanted.patience + kPermitLife};
+  if (requests_.size() >= kMaxOpenRequests) return Permit::kDenied;
+  PermitAsk request;
+  request.host = context_.settings.self.host;
+  request.id = ++last_request_id_;
+  request.server = server;
+  request.caller = wanted.caller;
+  request.worth = wanted.worth;
+  request.is_background = wanted.is_background;
+  request.patience = wanted.patience;
+  requests_[request.id] = {wanted.handle, server, context_.now,
+                           context_.now + wanted.patience + kPermitTtl};
   context_.metrics.Count("server_limit_asks_total");
   if (ledger_) {
-    ledger_->Ask(ask, context_.now);
+    ledger_->Ask(request, context_.now);
     SendAnswers();
     return Permit::kPending;
   }
-  unsent_.push_back(AskRow(ask));
-  if (context_.now - asks_sent_at_ >= kAskSpacing) SendAsks();
+  unsent_.push_back(RequestToJson(request));
+  if (context_.now - requests_sent_at_ >= kRequestInterval) SendRequests();
   return Permit::kPending;
 }
 
 void LimitKeeper::ReturnPermit(const std::string& server) {
-  gate_.AddSpare(server, context_.now + kPermitLife);
+  gate_.AddSpare(server, context_.now + kPermitTtl);
 }
 
-void LimitKeeper::SendAsks() {
+void LimitKeeper::SendRequests() {
   if (unsent_.empty() || owner_.host.empty()) return;
-  asks_sent_at_ = context_.now;
+  requests_sent_at_ = context_.now;
   Json body{{kToken, token_},
             {kAddress, context_.settings.peer_address},
-            {kAsks, std::exchange(unsent_, Json::array())}};
+            {kRequests, std::exchange(unsent_, Json::array())}};
   context_.Emit(SendPeer{owner_.host,
                          owner_.address,
                          {PeerMessageType::kPermitAsk, std::move(body)}});
@@ -179,12 +180,12 @@
 
 void LimitKeeper::TakeAsks(const std::string& host, const Json& body) {
   if (!ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
-  askers_[host] = FieldOr<std::string>(body, kAddress, "");
-  for (const Json& row : body.value(kAsks, Json::array())) {
-    std::optional<PermitAsk> ask = ReadAsk(row);
-    if (!ask) continue;
-    ask->host = host;
-    ledger_->Ask(*ask, context_.now);
+  requester_addresses_[host] = FieldOr<std::string>(body, kAddress, "");
+  for (const Json& row : body.value(kRequests, Json::array())) {
+    std::optional<PermitAsk> request = ParseRequest(row);
+    if (!request) continue;
+    request->host = host;
+    ledger_->Ask(*request, context_.now);
   }
   SendAnswers();
 }
@@ -195,16 +196,17 @@
     context_.metrics.Count(answer.is_granted ? "server_limit_grants_total"
                                              : "server_limit_denials_total");
     if (answer.host == context_.settings.self.host) {
-      TakeAnswer(answer);
+      HandleAnswer(answer);
       continue;
     }
-    Json& of_host = rows.try_emplace(answer.host, Json::array()).first->second;
-    of_host.push_back(AnswerRow(answer));
+    Json& host_rows =
+        rows.try_emplace(answer.host, Json::array()).first->second;
+    host_rows.push_back(AnswerToJson(answer));
   }
   for (auto& [host, answers] : rows) {
     context_.Emit(
         SendPeer{host,
-                 askers_[host],
+                 requester_addresses_[host],
                  {PeerMessageType::kPermitAnswer,
                   Json{{kToken, token_}, {kAnswers, std::move(answers)}}}});
   }
@@ -213,80 +215,82 @@
 void LimitKeeper::TakeAnswers(const Json& body) {
   if (ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   for (const Json& row : body.value(kAnswers, Json::array())) {
-    if (const std::optional<PermitAnswer> answer = ReadAnswer(row)) {
-      TakeAnswer(*answer);
+    if (const std::optional<PermitAnswer> answer = ParseAnswer(row)) {
+      HandleAnswer(*answer);
     }
   }
 }
 
-void LimitKeeper::TakeAnswer(const PermitAnswer& answer) {
-  const auto it = asks_.find(answer.id);
-  if (it == asks_.end()) return;
-  const OpenAsk ask = std::move(it->second);
-  asks_.erase(it);
-  const Duration under_way = context_.now - ask.asked_at - answer.waited;
-  const bool is_usable = answer.is_granted && under_way <= kPermitLife;
+void LimitKeeper::HandleAnswer(const PermitAnswer& answer) {
+  const auto it = requests_.find(answer.id);
+  if (it == requests_.end()) return;
+  const OpenRequest request = std::move(it->second);
+  requests_.erase(it);
+  const Duration in_transit =
+      context_.now - request.requested_at - answer.waited;
+  const bool is_usable = answer.is_granted && in_transit <= kPermitTtl;
   if (answer.is_granted && !is_usable) {
     context_.metrics.Count("server_limit_grants_lapsed_total");
   }
   outcomes_.push_back(
-      {ask.handle, ask.server, is_usable,
+      {request.handle, request.server, is_usable,
        answer.is_granted
-           ? kAskAgain
-           : std::max<Duration>(answer.retry_after, kAskSpacing)});
+           ? kRetryInterval
+           : std::max<Duration>(answer.retry_after, kRequestInterval)});
 }
 
-// The owner may have gone, or stands still.
-void LimitKeeper::GiveUpAsks() {
-  for (auto it = asks_.begin(); it != asks_.end();) {
+// Denies requests that the owner did not answer in time: it may have ended or
+// be suspended.
+void LimitKeeper::ExpireRequests() {
+  for (auto it = requests_.begin(); it != requests_.end();) {
     const auto next = std::next(it);
-    if (it->second.give_up_at <= context_.now) {
+    if (it->second.expires_at <= context_.now) {
       context_.metrics.Count("server_limit_asks_unanswered_total");
       outcomes_.push_back(
-          {it->second.handle, it->second.server, false, kAskAgain});
-      asks_.erase(it);
+          {it->second.handle, it->second.server, false, kRetryInterval});
+      requests_.erase(it);
     }
     it = next;
   }
 }
 
-// ---- Between the hosts ----
+// ---- Messages between hosts ----
 
-void LimitKeeper::StartPlanning(uint64_t& last_news) {
-  ledger_ = std::make_unique<PermitLedger>(told_hosts_);
-  askers_.clear();
-  book_.RestartRows(last_news);
-  for (const auto& [server, per_second] : book_.Limits()) {
+void LimitKeeper::StartPlanning(uint64_t& last_update) {
+  ledger_ = std::make_unique<PermitLedger>(known_hosts_);
+  requester_addresses_.clear();
+  registry_.RestartRows(last_update);
+  for (const auto& [server, per_second] : registry_.Limits()) {
     ledger_->SetLimit(server, per_second, context_.now);
   }
 }
 
 void LimitKeeper::RunTick(const PeerAddress& owner, FencingToken token,
-                          bool is_heard) {
+                          bool is_reachable) {
   if (token != token_) {
-    // Another owner has another ledger.
+    // The new owner's ledger has no requests of the former owner.
     unsent_ = Json::array();
-    for (auto& [id, ask] : asks_) ask.give_up_at = context_.now;
+    for (auto& [id, request] : requests_) request.expires_at = context_.now;
   }
   owner_ = owner;
   token_ = token;
-  is_owner_heard_ = is_heard && !owner.host.empty();
-  if (is_owner_heard_ || ledger_) told_hosts_ = context_.fleet_hosts;
-  if (book_.empty() && asks_.empty()) return;
+  is_owner_reachable_ = is_reachable && !owner.host.empty();
+  if (is_owner_reachable_ || ledger_) known_hosts_ = context_.fleet_hosts;
+  if (registry_.empty() && requests_.empty()) return;
   if (ledger_) {
     ledger_->NoteHost(context_.settings.self.host, context_.now);
     ledger_->Serve(context_.now);
     SendAnswers();
   } else {
-    SendAsks();
+    SendRequests();
   }
-  if (!is_owner_heard_) book_.Expire(context_.now);
+  if (!is_owner_reachable_) registry_.Expire(context_.now);
   ApplyChanges();
-  GiveUpAsks();
+  ExpireRequests();
 }
 
 Json LimitKeeper::ReportRows(FencingToken token, const EngineList& servers) {
-  return book_.ReportRows(token, servers, context_.now);
+  return registry_.ReportRows(token, servers, context_.now);
 }
 
 void LimitKeeper::NoteHost(const std::string& host) {
@@ -297,21 +301,21 @@
                              const EngineList& servers) {
   if (!ledger_) return;
   LogEvent(LogLevel::kDebug, "server_limits_reported").With("by", host);
-  book_.TakeReport(rows, servers, context_.now);
+  registry_.TakeReport(rows, servers, context_.now);
   ApplyChanges();
 }
 
 void LimitKeeper::TakePlan(const Json& rows, FencingToken token,
                            const EngineList& servers) {
-  book_.TakePlan(rows, token, servers, context_.now);
+  registry_.TakePlan(rows, token, servers, context_.now);
   ApplyChanges();
 }
 
 Json LimitKeeper::ToJson() const {
-  Json json{{"limits", book_.ToJson(context_.now)},
-            {"asks", asks_.size()},
-            {"owner_heard", is_owner_heard_},
-            {"told_hosts", told_hosts_}};
+  Json json{{"limits", registry_.ToJson(context_.now)},
+            {"asks", requests_.size()},
+            {"owner_heard", is_owner_reachable_},
+            {"told_hosts", known_hosts_}};
   if (ledger_) json["ledger"] = ledger_->ToJson(context_.now);
   return json;
 }
--- a/node/limit_keeper.h
+++ b/node/limit_keeper.h
@@ -15,38 +15,39 @@
 
 namespace applehall {
 
-// This host's part in keeping backend servers within the limits that they name.
+// Enforces the rate limits that backend servers name in their answers.
 //
-// A limit is for all hosts together, so each request to a limited server needs
-// a permit of the placement owner, which counts those of all hosts. A host that
-// hears no owner goes by its own part. What is known of limits travels with the
-// reports and plans of placement, permits in messages of their own: they cannot
-// wait for the next plan.
+// A limit applies to all hosts together, so each request to a limited server
+// needs a permit of the placement owner, which counts the permits of all hosts.
+// A host that reaches no owner applies its own part of the limit. Limits are
+// part of the reports and plans of placement. Permits have messages of their
+// own, because they cannot wait for the next plan.
 class LimitKeeper {
  public:
   explicit LimitKeeper(NodeContext& context) : context_(context) {}
 
-  // ---- What this host's requests say and want. Not thread-safe. ----
-  // An answer of `server` to an attempt that was sent at `sent_at`.
+  // ---- Requests of this host. Not thread-safe. ----
+  // Applies the limit in an answer of `server` to an attempt that was sent at
+  // `sent_at`.
   void TakeReported(const std::string& server, const ReportedLimit& reported,
                     TimePoint sent_at);
   bool IsLimited(const std::string& server) const {
-    return book_.Find(server).has_value();
+    return registry_.Find(server).has_value();
   }
   enum class Permit : uint8_t {
-    kGranted,  // Send it now.
-    kPending,  // The owner was asked; an outcome follows.
-    kDenied,   // Not now, and the owner cannot be asked.
+    kGranted,  // The request may be sent now.
+    kPending,  // Requested from the owner; an outcome follows.
+    kDenied,   // Not available now, and not requested from the owner.
   };
-  // What a request says for itself when it asks.
   struct PermitRequest {
     RequestHandle handle = 0;
     std::string caller;
     double worth = 1;
     bool is_background = false;
-    Duration patience{0};
+    Duration patience{0};  // Maximum wait for the permit.
   };
-  // A permit to send one request to `server`. Requires: IsLimited(server).
+  // Acquires a permit to send one request to `server`. Requires:
+  // IsLimited(server).
   Permit Acquire(const std::string& server, const PermitRequest& wanted);
   struct Outcome {
     RequestHandle handle = 0;
@@ -54,69 +55,70 @@
     bool is_granted = false;
     Duration retry_after{0};
   };
-  // Outcomes of what was asked, since the last call.
+  // Returns the outcomes of pending permits since the last call.
   std::vector<Outcome> TakeOutcomes() { return std::exchange(outcomes_, {}); }
-  // A granted permit that its request does not need any more.
+  // Returns a granted permit that its request does not need any more.
   void ReturnPermit(const std::string& server);
-  // How the limit of `server` stands, for a log line or a refusal.
+  // Describes the limit of `server` for a log line or a refusal.
   std::string Describe(const std::string& server) const;
-  // The server left, or starts another life.
+  // Removes the limit of a server that left or restarted.
   void Forget(const std::string& server);
 
-  // ---- Between the hosts. Not thread-safe. ----
-  void StartPlanning(uint64_t& last_news);
+  // ---- Messages between hosts. Not thread-safe. ----
+  void StartPlanning(uint64_t& last_update);
   void StopPlanning() { ledger_.reset(); }
-  // `owner` holds the lease under `token`, and was heard lately if `is_heard`;
-  // it has no name at the owner itself.
-  void RunTick(const PeerAddress& owner, FencingToken token, bool is_heard);
-  bool HasNewRows() const { return book_.HasNewRows(); }
+  // `owner` holds the lease under `token`; its host is empty at the owner
+  // itself. `is_reachable` is true if a plan of it arrived lately.
+  void RunTick(const PeerAddress& owner, FencingToken token, bool is_reachable);
+  bool HasNewRows() const { return registry_.HasNewRows(); }
   Json ReportRows(FencingToken token, const EngineList& servers);
   void TakeReport(const std::string& host, const Json& rows,
                   const EngineList& servers);
-  // Another host was heard, at the owner.
+  // Records a report of another host, at the owner.
   void NoteHost(const std::string& host);
-  void NumberRows(uint64_t& last_news) { book_.NumberRows(last_news); }
+  void NumberRows(uint64_t& last_update) { registry_.NumberRows(last_update); }
   Json PlanRows(uint64_t since, const EngineList& servers) const {
-    return book_.PlanRows(since, servers, context_.now);
+    return registry_.PlanRows(since, servers, context_.now);
   }
   void TakePlan(const Json& rows, FencingToken token,
                 const EngineList& servers);
-  // A host asks for permits, and the owner answers.
+  // Permit requests of a host arrive at the owner, and its answers at the host.
   void TakeAsks(const std::string& host, const Json& body);
   void TakeAnswers(const Json& body);
 
-  // Requests a second that limited servers take, by server. Not thread-safe.
-  std::map<std::string, double> Limits() const { return book_.Limits(); }
+  // Returns the limits in requests a second, by server. Not thread-safe.
+  std::map<std::string, double> Limits() const { return registry_.Limits(); }
   Json ToJson() const;
 
  private:
-  struct OpenAsk {
+  struct OpenRequest {
     RequestHandle handle = 0;
     std::string server;
-    TimePoint asked_at;
-    TimePoint give_up_at;
+    TimePoint requested_at;
+    TimePoint expires_at;
   };
 
   void ApplyChanges();
-  void TakeAnswer(const PermitAnswer& answer);
-  void SendAsks();
+  void HandleAnswer(const PermitAnswer& answer);
+  void SendRequests();
   void SendAnswers();
-  void GiveUpAsks();
+  void ExpireRequests();
 
   NodeContext& context_;
-  LimitBook book_;
+  LimitBook registry_;
   PermitGate gate_;
   std::unique_ptr<PermitLedger> ledger_;  // While this host is the owner.
   PeerAddress owner_;
   FencingToken token_ = 0;
-  bool is_owner_heard_ = false;
-  int told_hosts_ = 0;  // As the last owner that was heard told; zero: none.
+  bool is_owner_reachable_ = false;
+  int known_hosts_ = 0;  // Last host count of an owner; zero: no owner yet.
 
-  uint64_t last_ask_ = 0;
-  std::map<uint64_t, OpenAsk> asks_;
-  Json unsent_ = Json::array();  // Rows of asks.
-  TimePoint asks_sent_at_;
-  std::map<std::string, std::string> askers_;  // Their addresses, at the owner.
+  uint64_t last_request_id_ = 0;
+  std::map<uint64_t, OpenRequest> requests_;
+  Json unsent_ = Json::array();  // Rows of permit requests.
+  TimePoint requests_sent_at_;
+  // Owner: peer addresses of the hosts that requested permits, by host.
+  std::map<std::string, std::string> requester_addresses_;
   std::vector<Outcome> outcomes_;
 };
 
--- a/node/quarantine_keeper.cc
+++ b/node/quarantine_keeper.cc
@@ -15,27 +15,28 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// What ends servers does so soon after it begins to run there; an answer that
-// had come for longer than this was rather cut with the server.
-constexpr Duration kLateAnswer = seconds(1);
-// A content that was answered this lately does not end servers: something else
-// ended the one that it was cut at.
-constexpr Duration kCompletedLife = minutes(1);
+// A poison message crashes its server soon after it starts. An answer that was
+// under way for longer than this was probably cut by another request's crash.
+constexpr Duration kLateAnswerAge = seconds(1);
+// A content with a complete answer within this time is not counted as the cause
+// of an end.
+constexpr Duration kCompletedTtl = minutes(1);
 // 18 requests a second at each host of the largest fleet, for a minute.
-constexpr size_t kMostCompleted = 1080;
-// What the owner said of a suspect; hosts answer it with whole answers.
-constexpr Duration kSuspectLife = minutes(10);
-constexpr size_t kMostSuspects = 1024;
-// A host without an owner learns of a quarantine well within the 3 s in which
-// all hosts must know of it.
+constexpr size_t kMaxCompleted = 1080;
+// Validity of a suspect that the owner announced. Hosts report complete answers
+// of suspects.
+constexpr Duration kSuspectTtl = minutes(10);
+constexpr size_t kMaxSuspects = 1024;
+// All hosts must apply a quarantine within 3 s, also those without an owner.
 constexpr Duration kReadInterval = seconds(2);
-// Until the store has acknowledged it; while it is down, calls for nothing.
+// Retry interval until the store acknowledges. Bounds the calls that fail while
+// the store is unavailable.
 constexpr Duration kAppendInterval = seconds(1);
-constexpr int kMostAppends = 8;
+constexpr int kMaxAppendsPerRound = 8;
 
 }  // namespace
 
-// ---- What this host's requests say ----
+// ---- Requests of this host ----
 
 void QuarantineKeeper::NoteEnd(const std::string& server,
                                const std::vector<CutRequest>& cuts) {
@@ -50,15 +51,15 @@
         .With("requests", cuts.size())
         .With("counts", is_cleared ? "no" : "yes");
     if (is_cleared) continue;
-    const ServerEnd end{cut.fingerprint, server, cut.answered_for > kLateAnswer,
-                        context_.now};
+    const ServerEnd end{cut.fingerprint, server,
+                        cut.answered_for > kLateAnswerAge, context_.now};
     ends.push_back(end);
-    Tell({.kind = end.is_late ? ServerEndRow::Kind::kLateEnd
-                              : ServerEndRow::Kind::kEnd,
-          .fingerprint = end.fingerprint,
-          .server = server,
-          .at = end.at});
-    Judge(end, context_.settings.self.host);
+    QueueRow({.kind = end.is_late ? ServerEndRow::Kind::kLateEnd
+                                  : ServerEndRow::Kind::kEnd,
+              .fingerprint = end.fingerprint,
+              .server = server,
+              .at = end.at});
+    ApplyEnd(end, context_.settings.self.host);
   }
   if (IsFleet() || ends.empty()) return;
   writer_.Append(absl::StrCat("end/", server), ServerEndRecord(ends));
@@ -66,7 +67,7 @@
 
 bool QuarantineKeeper::HasCompletedLately(uint64_t fingerprint) const {
   const auto it = completed_.find(fingerprint);
-  return it != completed_.end() && context_.now - it->second <= kCompletedLife;
+  return it != completed_.end() && context_.now - it->second <= kCompletedTtl;
 }
 
 void QuarantineKeeper::NoteCompleted(uint64_t fingerprint) {
@@ -74,43 +75,43 @@
   const auto [it, is_new] = completed_.insert({fingerprint, context_.now});
   it->second = context_.now;
   if (is_new) completed_order_.push_back(fingerprint);
-  if (completed_order_.size() > kMostCompleted) {
+  if (completed_order_.size() > kMaxCompleted) {
     completed_.erase(completed_order_.front());
     completed_order_.pop_front();
   }
-  const bool is_doubted = StandingOf(fingerprint) != Standing::kClear;
+  const bool is_suspected = StateOf(fingerprint) != ContentState::kClear;
   Lift(fingerprint);
-  if (!is_doubted) return;
-  Tell({.kind = ServerEndRow::Kind::kCleared,
-        .fingerprint = fingerprint,
-        .at = context_.now});
+  if (!is_suspected) return;
+  QueueRow({.kind = ServerEndRow::Kind::kCleared,
+            .fingerprint = fingerprint,
+            .at = context_.now});
   if (IsFleet()) return;
   writer_.Append(absl::StrCat("clear/", FingerprintText(fingerprint)),
                  ContentClearedRecord(fingerprint));
 }
 
-QuarantineKeeper::Standing QuarantineKeeper::StandingOf(
+QuarantineKeeper::ContentState QuarantineKeeper::StateOf(
     uint64_t fingerprint) const {
-  if (Holds(fingerprint)) return Standing::kQuarantined;
+  if (Holds(fingerprint)) return ContentState::kQuarantined;
   const bool is_suspect = suspects_.contains(fingerprint) ||
                           ledger_.IsSuspect(fingerprint) ||
                           context_.control.crashes().IsSuspect(fingerprint);
-  return is_suspect ? Standing::kSuspect : Standing::kClear;
+  return is_suspect ? ContentState::kSuspect : ContentState::kClear;
 }
 
 bool QuarantineKeeper::Clear(uint64_t fingerprint) {
-  const Standing before = StandingOf(fingerprint);
+  const ContentState before = StateOf(fingerprint);
   ledger_.Clear(fingerprint);
   suspects_.erase(fingerprint);
-  reports_.Forget(fingerprint);
-  if (before == Standing::kClear) return false;
+  reports_.Remove(fingerprint);
+  if (before == ContentState::kClear) return false;
   changed_.insert(fingerprint);
-  if (before != Standing::kQuarantined) return false;
+  if (before != ContentState::kQuarantined) return false;
   quarantine_.Remove(fingerprint);
   unrecorded_.erase(fingerprint);
   LogEvent(LogLevel::kWarning, "quarantine_lifted")
       .With("fingerprint", FingerprintText(fingerprint))
-      .With("reason", "a server has run it to its end");
+      .With("reason", "a server answered it completely");
   return true;
 }
 
@@ -118,7 +119,7 @@
   if (Clear(fingerprint) && IsFleet()) unreleased_.insert(fingerprint);
 }
 
-void QuarantineKeeper::Judge(const ServerEnd& end, const std::string& host) {
+void QuarantineKeeper::ApplyEnd(const ServerEnd& end, const std::string& host) {
   if (end.fingerprint == 0 || Holds(end.fingerprint)) return;
   switch (ledger_.Record(end, context_.now)) {
     case CrashLedger::Finding::kNothing:
@@ -132,17 +133,17 @@
   unrecorded_.insert(end.fingerprint);
   const TimePoint until = context_.now + kQuarantineLife;
   Add(end.fingerprint, until,
-      absl::StrCat("server ", end.server, " seen by ", host));
+      absl::StrCat("server ", end.server, " reported by ", host));
   if (is_owner_) return;
-  // The ends may be forgotten before the owner can be told of them.
-  Tell({.kind = ServerEndRow::Kind::kProven,
-        .fingerprint = end.fingerprint,
-        .at = until});
+  // The ends may expire before the owner is reachable.
+  QueueRow({.kind = ServerEndRow::Kind::kProven,
+            .fingerprint = end.fingerprint,
+            .at = until});
 }
 
 void QuarantineKeeper::Add(uint64_t fingerprint, TimePoint until,
                            const std::string& source) {
-  // Hosts' clocks differ; none may hold a content for longer than the rest.
+  // Clock skew between hosts must not extend the quarantine.
   const TimePoint latest = context_.now + kQuarantineLife;
   const bool was_held = Holds(fingerprint);
   if (!quarantine_.Add(fingerprint, std::min(until, latest))) return;
@@ -159,15 +160,15 @@
       .With("source", source);
 }
 
-// ---- Between the hosts ----
+// ---- Reports and plans between hosts ----
 
-void QuarantineKeeper::Tell(ServerEndRow row) {
+void QuarantineKeeper::QueueRow(ServerEndRow row) {
   if (!IsFleet()) return;
   LogDropped(reports_.Add(std::move(row)), "table full");
 }
 
-// Other hosts will not count what is dropped here. An owner has counted its
-// own.
+// Counts and logs rows that the owner will never receive. The owner itself has
+// counted its own rows already.
 void QuarantineKeeper::LogDropped(size_t rows, const char* reason) {
   if (rows == 0 || is_owner_) return;
   context_.metrics.Count("server_end_rows_dropped_total", rows);
@@ -178,27 +179,27 @@
 }
 
 Json QuarantineKeeper::TakeReportRows(FencingToken token) {
-  return reports_.Take(token, context_.now);
+  return reports_.BuildReport(token, context_.now);
 }
 
 void QuarantineKeeper::TakeReport(const std::string& host, const Json& report) {
-  const auto rows = inbox_.Take(host, report, context_.now);
+  const auto rows = inbox_.HandleReport(host, report, context_.now);
   if (!rows) {
     context_.metrics.Count("malformed_reports_total");
     LogEvent(LogLevel::kWarning, "server_end_report_malformed")
         .With("host", host);
     return;
   }
-  for (const ServerEndRow& row : *rows) TakeRow(host, row);
+  for (const ServerEndRow& row : *rows) ApplyRow(host, row);
 }
 
-void QuarantineKeeper::TakeRow(const std::string& host,
-                               const ServerEndRow& row) {
+void QuarantineKeeper::ApplyRow(const std::string& host,
+                                const ServerEndRow& row) {
   switch (row.kind) {
     case ServerEndRow::Kind::kEnd:
     case ServerEndRow::Kind::kLateEnd: {
       const bool is_late = row.kind == ServerEndRow::Kind::kLateEnd;
-      Judge({row.fingerprint, row.server, is_late, row.at}, host);
+      ApplyEnd({row.fingerprint, row.server, is_late, row.at}, host);
       return;
     }
     case ServerEndRow::Kind::kCleared:
@@ -212,35 +213,34 @@
   }
 }
 
-void QuarantineKeeper::NumberRows(uint64_t& last_news) {
+void QuarantineKeeper::NumberRows(uint64_t& last_update) {
   for (const uint64_t fingerprint : std::exchange(changed_, {})) {
-    Told& told = told_[fingerprint];
-    told.news = ++last_news;
-    told.at = context_.now;
-    told.was_quarantined = told.was_quarantined || Holds(fingerprint);
+    Announcement& announced = announced_[fingerprint];
+    announced.update = ++last_update;
+    announced.at = context_.now;
+    announced.was_quarantined = announced.was_quarantined || Holds(fingerprint);
   }
-  // A row is kept for as long as a host that missed it may go by an earlier
-  // one.
-  std::erase_if(told_, [this](const auto& item) {
-    const Duration life =
-        item.second.was_quarantined ? kQuarantineLife : kSuspectLife;
-    return !Holds(item.first) && context_.now - item.second.at > life;
+  // Keeps a row for as long as a host that missed it may apply an earlier one.
+  std::erase_if(announced_, [this](const auto& item) {
+    const Duration ttl =
+        item.second.was_quarantined ? kQuarantineLife : kSuspectTtl;
+    return !Holds(item.first) && context_.now - item.second.at > ttl;
   });
 }
 
-void QuarantineKeeper::RestartRows(uint64_t& last_news) {
-  told_.clear();
+void QuarantineKeeper::RestartRows(uint64_t& last_update) {
+  announced_.clear();
   for (const auto& [fingerprint, until] : quarantine_.entries()) {
     changed_.insert(fingerprint);
   }
-  NumberRows(last_news);
+  NumberRows(last_update);
 }
 
 Json QuarantineKeeper::PlanRows(uint64_t since) const {
   Json rows = Json::array();
-  for (const auto& [fingerprint, told] : told_) {
-    if (told.news <= since) continue;
-    rows.push_back({fingerprint, static_cast<int>(StandingOf(fingerprint)),
+  for (const auto& [fingerprint, announced] : announced_) {
+    if (announced.update <= since) continue;
+    rows.push_back({fingerprint, static_cast<int>(StateOf(fingerprint)),
                     ToUnixMillis(quarantine_.Until(fingerprint))});
   }
   return rows;
@@ -254,22 +254,22 @@
       continue;
     }
     const auto fingerprint = row[0].get<uint64_t>();
-    switch (static_cast<Standing>(row[1].get<int>())) {
-      case Standing::kClear:
+    switch (static_cast<ContentState>(row[1].get<int>())) {
+      case ContentState::kClear:
         Clear(fingerprint);
         break;
-      case Standing::kSuspect:
-        if (suspects_.size() >= kMostSuspects) break;
+      case ContentState::kSuspect:
+        if (suspects_.size() >= kMaxSuspects) break;
         suspects_[fingerprint] = context_.now;
         break;
-      case Standing::kQuarantined:
+      case ContentState::kQuarantined:
         Add(fingerprint, FromUnixMillis(row[2].get<int64_t>()), "plan");
         break;
     }
   }
 }
 
-// ---- The log ----
+// ---- Control stream ----
 
 void QuarantineKeeper::TakeControl() {
   const Quarantine& agreed = context_.control.quarantine();
@@ -286,7 +286,7 @@
   }
 }
 
-// ---- The store's record ----
+// ---- Record in the store ----
 
 void QuarantineKeeper::TakeRead(const QuarantineRead& event) {
   if (!event.is_answered) return;
@@ -307,7 +307,7 @@
   (is_release ? unreleased_ : unrecorded_).erase(fingerprint);
 }
 
-void QuarantineKeeper::EndDue(bool is_owner) {
+void QuarantineKeeper::ExpireQuarantines(bool is_owner) {
   for (const uint64_t fingerprint : quarantine_.TakeEnded(context_.now)) {
     changed_.insert(fingerprint);
     unrecorded_.erase(fingerprint);
@@ -317,47 +317,47 @@
   }
 }
 
-// Guards against a host that does not know what the fleet does: while it hears
-// no owner, as at its start, and as the new owner, who must tell it to all. The
-// owner's plans carry it at all other times, at no call to the store.
-void QuarantineKeeper::ReadDue(bool is_owner, bool hears_owner) {
+// The store is read only while no owner is reachable, as at start, and by a new
+// owner, which must announce the quarantines to all hosts. At all other times
+// the owner's plans carry them without a call to the store.
+void QuarantineKeeper::ReadRecordIfDue(bool is_owner, bool hears_owner) {
   if (is_owner && !is_owner_) {
     has_read_ = false;
     read_at_ = {};
   }
   is_owner_ = is_owner;
-  const bool is_unsure = is_owner ? !has_read_ : !hears_owner;
-  if (!is_unsure || context_.now - read_at_ < kReadInterval) return;
+  const bool needs_read = is_owner ? !has_read_ : !hears_owner;
+  if (!needs_read || context_.now - read_at_ < kReadInterval) return;
   read_at_ = context_.now;
   context_.Emit(ReadQuarantine{});
 }
 
-void QuarantineKeeper::AppendDue() {
+void QuarantineKeeper::AppendIfDue() {
   if (unrecorded_.empty() && unreleased_.empty()) return;
   if (context_.now - recorded_at_ < kAppendInterval) return;
   recorded_at_ = context_.now;
   int appends = 0;
   for (const uint64_t fingerprint : unrecorded_) {
-    if (++appends > kMostAppends) return;
+    if (++appends > kMaxAppendsPerRound) return;
     context_.Emit(
         AppendQuarantine{{fingerprint, quarantine_.Until(fingerprint)}});
   }
   for (const uint64_t fingerprint : unreleased_) {
-    if (++appends > kMostAppends) return;
+    if (++appends > kMaxAppendsPerRound) return;
     context_.Emit(AppendQuarantine{{fingerprint, TimePoint{}}});
   }
 }
 
 void QuarantineKeeper::RunTick(bool is_owner, bool hears_owner) {
-  EndDue(is_owner);
+  ExpireQuarantines(is_owner);
   LogDropped(reports_.DropExpired(context_.now), "too old");
   std::erase_if(suspects_, [this](const auto& item) {
-    return context_.now - item.second > kSuspectLife;
+    return context_.now - item.second > kSuspectTtl;
   });
   if (!is_owner) changed_.clear();
   if (!IsFleet()) return;
-  ReadDue(is_owner, hears_owner);
-  AppendDue();
+  ReadRecordIfDue(is_owner, hears_owner);
+  AppendIfDue();
 }
 
 Json QuarantineKeeper::ToJson() const {
--- a/node/quarantine_keeper.h
+++ b/node/quarantine_keeper.h
@@ -18,124 +18,134 @@
 
 namespace applehall {
 
-// Keeps requests that end the servers that run them away from all servers.
+// Quarantines poison messages: requests that crash the servers that run them.
 //
-// A request that ends its server comes again, at any host and under a new id:
-// to each host it looks like the first of its kind, and engine after engine
-// ends with all that runs there. So hosts tell the placement owner which
-// contents were under way at a server that ended, and the owner finds the one
-// that was there each time. It is told to all hosts with the owner's plans,
-// which needs no store, and recorded in the store, which outlives all hosts: a
-// host reads the record when it starts, when it becomes the owner and while it
-// hears none. Without an owner each host goes by the ends it saw itself.
+// The caller of such a request repeats it at any host and under a new id, so no
+// single host recognises it, and it crashes one engine after another with all
+// requests that run there. Therefore hosts report to the placement owner which
+// contents were under way at a server that ended, and the owner quarantines the
+// content that was there each time. The owner's plans carry the quarantine to
+// all hosts without the store. The store keeps a record for the case that all
+// hosts restart: a host reads it when it starts, when it becomes the owner and
+// while no owner is reachable. Without an owner each host counts only the ends
+// that it observed itself.
 //
-// Where hosts place by groups there is no one owner; there the ends are records
-// of the control stream, and all hosts find the same from them.
+// With placement by groups there is no single owner. There the ends are records
+// of the control stream, from which all hosts derive the same quarantines.
 class QuarantineKeeper {
  public:
   QuarantineKeeper(NodeContext& context, LogWriter& writer)
       : context_(context), writer_(writer), reports_(context.settings.self) {}
 
-  // ---- What this host's requests say. Not thread-safe. ----
+  // ---- Requests of this host. Not thread-safe. ----
+  // Records that `server` ended with the requests of `cuts` under way.
   void NoteEnd(const std::string& server, const std::vector<CutRequest>& cuts);
-  // A server ran it to its end.
+  // Records that a server answered the content completely.
   void NoteCompleted(uint64_t fingerprint);
-  // It must be sent to no server.
+  // True if the content must not be sent to any server.
   bool Holds(uint64_t fingerprint) const {
     return quarantine_.Holds(fingerprint, context_.now);
   }
   Duration Remaining(uint64_t fingerprint) const {
     return quarantine_.Until(fingerprint) - context_.now;
   }
-  // Contents that came under quarantine since the last call.
+  // Returns the contents that were quarantined since the last call.
   std::vector<uint64_t> TakeAdded() { return std::exchange(added_, {}); }
 
-  // ---- Between the hosts. Not thread-safe. ----
-  // A row of the next report is not sent yet.
+  // ---- Reports and plans between hosts. Not thread-safe. ----
+  // True if the next report contains a row that was not sent yet.
   bool HasNewRows() const { return reports_.HasNew(); }
-  // What the owner under `token` is owed now; null if nothing.
+  // Returns the rows to send to the owner under `token` now; null if none.
   Json TakeReportRows(FencingToken token);
   void TakeReport(const std::string& host, const Json& report);
-  // The acknowledgement that `host` is owed with its next plan; null if none.
-  Json TakeAckFor(const std::string& host) { return inbox_.TakeAck(host); }
-  // The owner under `token` has this host's rows up to one.
+  // Returns the acknowledgement to send to `host` with its next plan; null if
+  // none is due.
+  Json TakeAckFor(const std::string& host) { return inbox_.TakeOwedAck(host); }
+  // Handles the acknowledgement of this host's rows by the owner under `token`.
   void TakeAck(FencingToken token, const Json& ack) {
-    reports_.TakeAck(token, ack);
+    reports_.HandleAck(token, ack);
   }
-  // Numbers what has changed since the last call among the owner's news; the
-  // last number given is `last_news`.
-  void NumberRows(uint64_t& last_news);
-  // Numbers all that is known, for a new owner's first plans.
-  void RestartRows(uint64_t& last_news);
-  // The rows of a plan with the news after `since`.
+  // Assigns the next update numbers of the owner to the contents that changed
+  // since the last call. `last_update` is the last number assigned.
+  void NumberRows(uint64_t& last_update);
+  // Assigns new update numbers to all quarantines, for the first plans of a new
+  // owner.
+  void RestartRows(uint64_t& last_update);
+  // Returns the rows of a plan with the updates after `since`.
   Json PlanRows(uint64_t since) const;
   void TakePlan(const Json& rows);
 
-  // ---- The log, where hosts place by groups. Not thread-safe. ----
-  // The control state has changed.
+  // ---- Control stream, with placement by groups. Not thread-safe. ----
+  // Applies the quarantines of a changed control state.
   void TakeControl();
 
-  // ---- The store's record. Not thread-safe. ----
+  // ---- Record in the store. Not thread-safe. ----
   void TakeRead(const QuarantineRead& event);
   void TakeAppendEnd(const QuarantineAppendEnded& event);
 
-  // Reads, records and releases what is due. Not thread-safe.
+  // Expires quarantines, and reads, appends and releases records that are due.
+  // Not thread-safe.
   void RunTick(bool is_owner, bool hears_owner);
   Json ToJson() const;
 
  private:
-  // What the fleet believes of a content; as numbered in plans.
-  enum class Standing : uint8_t { kClear, kSuspect, kQuarantined };
+  // State of a content. The values are those in plans.
+  enum class ContentState : uint8_t { kClear, kSuspect, kQuarantined };
   bool IsFleet() const {
     return context_.settings.placement == PlacementStyle::kFleet;
   }
   bool HasCompletedLately(uint64_t fingerprint) const;
-  Standing StandingOf(uint64_t fingerprint) const;
-  // Adds a row for the owner.
-  void Tell(ServerEndRow row);
-  void TakeRow(const std::string& host, const ServerEndRow& row);
+  ContentState StateOf(uint64_t fingerprint) const;
+  // Queues a row for the next report to the owner.
+  void QueueRow(ServerEndRow row);
+  void ApplyRow(const std::string& host, const ServerEndRow& row);
   void LogDropped(size_t rows, const char* reason);
-  // Takes an end into account that was seen at `host`.
-  void Judge(const ServerEnd& end, const std::string& host);
-  // Forgets what speaks against it; true if it was under quarantine.
+  // Counts an end that `host` observed, and quarantines a proven content.
+  void ApplyEnd(const ServerEnd& end, const std::string& host);
+  // Removes all suspicion of a content; true if it was quarantined.
   bool Clear(uint64_t fingerprint);
-  // A server ran it to its end: its record in the store goes as well.
+  // Clears a content that a server answered completely, and schedules the
+  // release of its record in the store.
   void Lift(uint64_t fingerprint);
   void Add(uint64_t fingerprint, TimePoint until, const std::string& source);
-  void EndDue(bool is_owner);
-  void ReadDue(bool is_owner, bool hears_owner);
-  void AppendDue();
+  void ExpireQuarantines(bool is_owner);
+  void ReadRecordIfDue(bool is_owner, bool hears_owner);
+  void AppendIfDue();
 
   NodeContext& context_;
   LogWriter& writer_;
   CrashLedger ledger_;
   Quarantine quarantine_;
   std::vector<uint64_t> added_;
-  // Owner: contents whose standing changed, and the news that told it.
+  // Owner: contents whose state changed and has no update number yet.
   std::set<uint64_t> changed_;
-  struct Told {
-    uint64_t news = 0;
+  struct Announcement {
+    uint64_t update = 0;
     TimePoint at;
-    bool was_quarantined = false;  // By an earlier row, which hosts may hold.
+    // True if an earlier row announced a quarantine, which hosts may still
+    // apply.
+    bool was_quarantined = false;
   };
-  std::map<uint64_t, Told> told_;
-  // Contents under which more than one server ended, as the owner said then.
+  // Owner: the last update of each content.
+  std::map<uint64_t, Announcement> announced_;
+  // Suspects that the owner announced, with the time of the announcement.
   std::map<uint64_t, TimePoint> suspects_;
   ServerEndReports reports_;
   ServerEndInbox inbox_;  // Owner.
-  // When requests of these contents were last answered here, the oldest first.
+  // Time of the last complete answer by content, and the contents in the order
+  // of their first answer.
   std::map<uint64_t, TimePoint> completed_;
   std::deque<uint64_t> completed_order_;
 
-  std::set<uint64_t> from_log_;  // Contents that the log says are held.
+  std::set<uint64_t> from_log_;  // Quarantined by the control stream.
 
-  // Contents that this host found and the store has not acknowledged.
+  // Quarantines and releases that the store has not acknowledged.
   std::set<uint64_t> unrecorded_;
   std::set<uint64_t> unreleased_;
   TimePoint recorded_at_;
   bool is_owner_ = false;  // At the last tick.
   bool has_read_ = false;  // Since this host became the owner.
-  TimePoint read_at_;      // Last question; epoch: one is due.
+  TimePoint read_at_;      // Last read request; epoch: a read is due.
 };
 
 }  // namespace applehall
--- a/node/quota_keeper.cc
+++ b/node/quota_keeper.cc
@@ -10,9 +10,9 @@
 namespace applehall {
 namespace {
 
-// Of hundreds of hosts one reports every few ms; what a single report adds does
-// not change a share.
-constexpr Duration kDecisionInterval = std::chrono::milliseconds(100);
+// With hundreds of hosts a report arrives every few ms, and a single one hardly
+// changes a share.
+constexpr Duration kComputeInterval = std::chrono::milliseconds(100);
 
 // Keys of rows in reports and plans, which are arrays to keep them short.
 constexpr char kIncarnation[] = "incarnation";
@@ -21,41 +21,42 @@
 constexpr char kHosts[] = "hosts";
 constexpr char kAddress[] = "address";
 
-// Without an owner, hosts report to the reader of their data centre this often.
+// Without an owner, hosts report to the store reader of their data centre at
+// this interval.
 constexpr Duration kCentreInterval = std::chrono::milliseconds(250);
-// All of them have reported by then.
+// Longer than kCentreInterval, so that all hosts have reported by then.
 constexpr Duration kCentreGathering = std::chrono::milliseconds(350);
 
-bool IsRow(const Json& row, size_t fields) {
+bool IsNumberRow(const Json& row, size_t fields) {
   return row.is_array() && row.size() == fields &&
          std::all_of(row.begin(), row.end(), [](const Json& field) {
            return field.is_number() && std::isfinite(field.get<double>());
          });
 }
 
-QuotaUsage UsageFrom(const Json& teams) {
+QuotaUsage ParseUsage(const Json& teams) {
   QuotaUsage usage;
   if (!teams.is_object()) return usage;
   for (const auto& [team, row] : teams.items()) {
-    if (!IsRow(row, 3)) continue;
+    if (!IsNumberRow(row, 3)) continue;
     usage[team] = {row[0].get<double>(), std::max(0.0, row[1].get<double>()),
                    std::max(0.0, row[2].get<double>())};
   }
   return usage;
 }
 
-QuotaShares SharesFrom(const Json& teams) {
+QuotaShares ParseShares(const Json& teams) {
   QuotaShares shares;
   if (!teams.is_object()) return shares;
   for (const auto& [team, row] : teams.items()) {
-    if (!IsRow(row, 2)) continue;
+    if (!IsNumberRow(row, 2)) continue;
     shares[team] = {std::clamp(row[0].get<double>(), 0.0, 1.0),
                     std::max(0.0, row[1].get<double>())};
   }
   return shares;
 }
 
-Json ShareRows(const QuotaShares& shares) {
+Json SharesToJson(const QuotaShares& shares) {
   Json teams = Json::object();
   for (const auto& [team, share] : shares) {
     teams[team] = Json::array({share.share, std::round(share.usual_rate)});
@@ -63,7 +64,7 @@
   return teams;
 }
 
-std::map<std::string, double> PartsFrom(const Json& rows) {
+std::map<std::string, double> ParseParts(const Json& rows) {
   std::map<std::string, double> parts;
   if (!rows.is_object()) return parts;
   for (const auto& [team, part] : rows.items()) {
@@ -94,20 +95,20 @@
   if (decision.is_admitted) return std::nullopt;
   context_.metrics.Count(
       absl::StrFormat("quota_refused_total{team=\"%s\"}", team.name));
-  return Refusal{
-      Verdict::kNotRun, RefusalReason::kQuotaUsedUp,
-      absl::StrFormat("the quota of team %s is used up (%s, share %.3f, told "
-                      "%d ms ago, cost %.0f, version %d)",
-                      team.name, QuotaModeName(decision.mode), decision.share,
-                      ToMillis(decision.told_ago), cost,
-                      context_.control.rules().version()),
-      decision.retry_after};
+  return Refusal{Verdict::kNotRun, RefusalReason::kQuotaUsedUp,
+                 absl::StrFormat(
+                     "the quota of team %s is used up (%s, share %.3f, updated "
+                     "%d ms ago, cost %.0f, version %d)",
+                     team.name, QuotaModeName(decision.mode), decision.share,
+                     ToMillis(decision.told_ago), cost,
+                     context_.control.rules().version()),
+                 decision.retry_after};
 }
 
 void QuotaKeeper::StartPlanning() {
   ledger_ = std::make_unique<QuotaLedger>(
       QuotaLedger::Settings{.tolerance = context_.settings.quota_tolerance,
-                            .expected_hosts = told_hosts_});
+                            .expected_hosts = known_hosts_});
   ledger_->SetTeams(context_.teams, context_.now);
   centre_ledger_.reset();
 }
@@ -129,7 +130,7 @@
   if (!ledger_) return;
   ledger_->TakeUsage(
       host, data_centre, FieldOr<uint64_t>(rows, kIncarnation, 0),
-      UsageFrom(rows.value(kTeams, Json::object())), context_.now);
+      ParseUsage(rows.value(kTeams, Json::object())), context_.now);
 }
 
 void QuotaKeeper::RunTick(const PeerAddress& reader) {
@@ -139,12 +140,12 @@
   } else if (gate_.IsTold(context_.now)) {
     centre_ledger_.reset();
   } else {
-    RunCentre(reader);
+    RunWithoutOwner(reader);
   }
 }
 
-QuotaShares QuotaKeeper::Decide(QuotaLedger& ledger,
-                                std::shared_ptr<const TeamBook> teams) {
+QuotaShares QuotaKeeper::ComputeShares(QuotaLedger& ledger,
+                                       std::shared_ptr<const TeamBook> teams) {
   ledger.SetTeams(std::move(teams), context_.now);
   ledger.TakeUsage(context_.settings.self.host, context_.settings.data_centre,
                    context_.settings.self.number, gate_.Usage(context_.now),
@@ -153,27 +154,28 @@
 }
 
 void QuotaKeeper::RunOwner() {
-  if (context_.now - decided_at_ < kDecisionInterval) return;
-  decided_at_ = context_.now;
-  QuotaShares shares = Decide(*ledger_, context_.teams);
+  if (context_.now - computed_at_ < kComputeInterval) return;
+  computed_at_ = context_.now;
+  QuotaShares shares = ComputeShares(*ledger_, context_.teams);
   if (!ledger_->IsReady(context_.now)) return;
   LogThrottled(shares);
   shares_ = std::move(shares);
-  told_hosts_ = ledger_->KnownHosts(context_.now);
-  gate_.TakeShares(shares_, told_hosts_, context_.now);
+  known_hosts_ = ledger_->KnownHosts(context_.now);
+  gate_.TakeShares(shares_, known_hosts_, context_.now);
   const auto parts = ledger_->parts().find(context_.settings.data_centre);
   if (parts != ledger_->parts().end()) centre_parts_ = parts->second;
 }
 
-// Who never heard an owner knows of no parts, and nobody stands in for it.
-void QuotaKeeper::RunCentre(const PeerAddress& reader) {
-  if (reader.host.empty() || told_hosts_ == 0) return;
+// A host that never received a plan knows no parts of quotas, so no ledger of
+// the data centre can replace the owner.
+void QuotaKeeper::RunWithoutOwner(const PeerAddress& reader) {
+  if (reader.host.empty() || known_hosts_ == 0) return;
   if (reader.host == context_.settings.self.host) {
-    StandIn();
+    RunCentreLedger();
     return;
   }
-  if (context_.now - asked_centre_at_ < kCentreInterval) return;
-  asked_centre_at_ = context_.now;
+  if (context_.now - centre_reported_at_ < kCentreInterval) return;
+  centre_reported_at_ = context_.now;
   Json body = ReportRows();
   body[kAddress] = context_.settings.peer_address;
   context_.Emit(SendPeer{reader.host,
@@ -181,24 +183,24 @@
                          {PeerMessageType::kQuotaUsage, std::move(body)}});
 }
 
-void QuotaKeeper::StandIn() {
-  if (context_.now - decided_at_ < kDecisionInterval) return;
-  decided_at_ = context_.now;
+void QuotaKeeper::RunCentreLedger() {
+  if (context_.now - computed_at_ < kComputeInterval) return;
+  computed_at_ = context_.now;
   if (!centre_ledger_) {
     centre_ledger_ = std::make_unique<QuotaLedger>(QuotaLedger::Settings{
         .tolerance = {}, .expected_hosts = 0, .gathering = kCentreGathering});
     context_.metrics.Count("quota_stand_ins_total");
     LogEvent(LogLevel::kInfo, "quota_stand_in")
         .With("data_centre", context_.settings.data_centre)
-        .With("told_hosts", told_hosts_);
+        .With("told_hosts", known_hosts_);
   }
-  QuotaShares shares = Decide(*centre_ledger_, CentreTeams());
+  QuotaShares shares = ComputeShares(*centre_ledger_, CentreTeams());
   if (!centre_ledger_->IsReady(context_.now)) return;
   centre_shares_ = std::move(shares);
   gate_.TakeCentreShares(centre_shares_, context_.now);
 }
 
-// The teams with their quotas cut down to this data centre's part.
+// Returns the teams with their quotas reduced to this data centre's part.
 std::shared_ptr<const TeamBook> QuotaKeeper::CentreTeams() const {
   auto teams = std::make_shared<TeamBook>();
   for (const auto& [name, whole] : context_.teams->teams()) {
@@ -218,42 +220,45 @@
   if (centre_ledger_) {
     centre_ledger_->TakeUsage(host, context_.settings.data_centre,
                               FieldOr<uint64_t>(body, kIncarnation, 0),
-                              UsageFrom(body.value(kTeams, Json::object())),
+                              ParseUsage(body.value(kTeams, Json::object())),
                               context_.now);
   }
-  // Here the owner may still be heard: its share is right for the host as well.
-  const bool is_told = gate_.IsTold(context_.now);
-  const bool is_standing_in =
+  // If the owner still reaches this host, its share is valid for `host` as
+  // well.
+  const bool has_owner_shares = gate_.IsTold(context_.now);
+  const bool has_centre_shares =
       centre_ledger_ && centre_ledger_->IsReady(context_.now);
-  if (!is_told && !is_standing_in) return;
+  if (!has_owner_shares && !has_centre_shares) return;
   context_.Emit(SendPeer{
       host,
       FieldOr<std::string>(body, kAddress, ""),
       {PeerMessageType::kQuotaWord,
-       Json{{kTeams, ShareRows(is_told ? shares_ : centre_shares_)}}}});
+       Json{{kTeams,
+             SharesToJson(has_owner_shares ? shares_ : centre_shares_)}}}});
 }
 
 void QuotaKeeper::TakeCentreWord(const Json& body) {
-  gate_.TakeCentreShares(SharesFrom(body.value(kTeams, Json::object())),
+  gate_.TakeCentreShares(ParseShares(body.value(kTeams, Json::object())),
                          context_.now);
 }
 
 Json QuotaKeeper::PlanRows(const std::string& data_centre) const {
   if (!ledger_ || !ledger_->IsReady(context_.now) || !HasQuotas()) return {};
-  Json body{{kTeams, ShareRows(shares_)}, {kHosts, told_hosts_}};
+  Json body{{kTeams, SharesToJson(shares_)}, {kHosts, known_hosts_}};
   const auto parts = ledger_->parts().find(data_centre);
   if (parts != ledger_->parts().end()) body[kParts] = parts->second;
   return body;
 }
 
-// One line when a team begins to be held back and one when it no longer is.
+// Logs when the throttling of a team starts and ends.
 void QuotaKeeper::LogThrottled(const QuotaShares& shares) const {
   for (const auto& [team, share] : shares) {
     const auto before = shares_.find(team);
-    const bool was_held = before != shares_.end() && before->second.share < 1;
-    const bool is_held = share.share < 1;
-    if (was_held == is_held) continue;
-    LogEvent(LogLevel::kInfo, is_held ? "quota_throttled" : "quota_freed")
+    const bool was_throttled =
+        before != shares_.end() && before->second.share < 1;
+    const bool is_throttled = share.share < 1;
+    if (was_throttled == is_throttled) continue;
+    LogEvent(LogLevel::kInfo, is_throttled ? "quota_throttled" : "quota_freed")
         .With("team", team)
         .With("share", share.share)
         .With("usual_rate", share.usual_rate)
@@ -263,20 +268,20 @@
 }
 
 void QuotaKeeper::TakePlan(const Json& rows) {
-  shares_ = SharesFrom(rows.value(kTeams, Json::object()));
-  told_hosts_ = std::max(1, FieldOr<int>(rows, kHosts, 1));
-  gate_.TakeShares(shares_, told_hosts_, context_.now);
-  centre_parts_ = PartsFrom(rows.value(kParts, Json::object()));
+  shares_ = ParseShares(rows.value(kTeams, Json::object()));
+  known_hosts_ = std::max(1, FieldOr<int>(rows, kHosts, 1));
+  gate_.TakeShares(shares_, known_hosts_, context_.now);
+  centre_parts_ = ParseParts(rows.value(kParts, Json::object()));
 }
 
 Json QuotaKeeper::ToJson() const {
   Json json{{"is_ledger_here", ledger_ != nullptr}, {"teams", Json::object()}};
   for (const auto& [team, usage] : gate_.Usage(context_.now)) {
-    const auto told = shares_.find(team);
+    const auto found = shares_.find(team);
     json["teams"][team] =
         Json{{"admitted", usage.admitted},
              {"recent_rate", usage.recent_rate},
-             {"share", told == shares_.end() ? 1.0 : told->second.share}};
+             {"share", found == shares_.end() ? 1.0 : found->second.share}};
   }
   return json;
 }
--- a/node/quota_keeper.h
+++ b/node/quota_keeper.h
@@ -12,81 +12,87 @@
 
 namespace applehall {
 
-// This host's part in holding teams to their quotas: the gate for its own
-// requests and, while it holds the placement lease, the ledger of all hosts.
-// Both travel with the reports and plans of placement.
+// Enforces the quotas of teams: a gate for the requests of this host and, while
+// this host holds the placement lease, the ledger of all hosts. Usage and
+// shares are part of the reports and plans of placement.
 //
-// Without word from an owner, the hosts of a data centre go by one of them, the
-// reader of the store: it keeps a ledger of their part of each quota. Otherwise
-// each host would have its own small part only, which refuses whoever has more
-// requests at one host than usual, although the team is within its quota.
+// While no owner is reachable, the store reader of a data centre keeps a ledger
+// of the data centre's part of each quota for all its hosts. If each host had
+// only its own small part, a team with more requests than usual at one host
+// would be refused there, although it is within its quota.
 class QuotaKeeper {
  public:
   explicit QuotaKeeper(NodeContext& context)
       : context_(context),
         gate_(context.settings.quota_tolerance,
-              SplitOf(context.settings.policies)) {}
+              QuotaSplitFor(context.settings.policies)) {}
 
-  // A refusal if `team` has used its quota up. Not thread-safe.
+  // Charges `cost` to the quota of `team`. Returns a refusal if the quota is
+  // used up. Not thread-safe.
   std::optional<Refusal> Ask(const Team& team, double cost);
-  // An admitted request has not run and never will. Not thread-safe.
+  // Refunds an admitted request that did not run and never will. Not
+  // thread-safe.
   void GiveBack(const std::string& team, double cost) {
     gate_.GiveBack(team, cost);
   }
 
-  // This host holds the lease from now on, or does not. Not thread-safe.
+  // Start and end of this host's placement lease. Not thread-safe.
   void StartPlanning();
   void StopPlanning() { ledger_.reset(); }
-  // Decides on the shares while this host holds the lease; without an owner's
-  // word, turns to `reader`, that of this data centre. Not thread-safe.
+  // Computes the shares while this host holds the lease. Without shares of an
+  // owner, reports to `reader`, the store reader of this data centre. Not
+  // thread-safe.
   void RunTick(const PeerAddress& reader);
 
-  // What this host's report says; empty where no team has a quota. Not
+  // Returns the usage for this host's report; empty if no team has a quota. Not
   // thread-safe.
   Json ReportRows() const;
   void TakeReport(const std::string& host, const std::string& data_centre,
                   const Json& rows);
-  // What plans to hosts of `data_centre` say; empty until all hosts were heard,
-  // or without quotas. Not thread-safe.
+  // Returns the shares for plans to hosts of `data_centre`; empty until all
+  // hosts have reported, or without quotas. Not thread-safe.
   Json PlanRows(const std::string& data_centre) const;
   void TakePlan(const Json& rows);
-  // A host of this data centre hears no owner. Not thread-safe.
+  // Handles the usage of a host of this data centre that reaches no owner. Not
+  // thread-safe.
   void TakeCentreUsage(const std::string& host, const Json& body);
+  // Handles the shares that the store reader of this data centre computed. Not
+  // thread-safe.
   void TakeCentreWord(const Json& body);
-  // A team is held back, so its share has to follow what it asks for. Not
+  // True if a team is throttled, so that its share must follow its demand. Not
   // thread-safe.
   bool IsThrottling() const;
 
   Json ToJson() const;
 
  private:
-  static QuotaSplit SplitOf(const PolicySet& policies) {
+  static QuotaSplit QuotaSplitFor(const PolicySet& policies) {
     if (policies.Has(Policy::kQuotaShares)) return QuotaSplit::kByDemand;
     return policies.Has(Policy::kQuotaUsage) ? QuotaSplit::kByUsage
                                              : QuotaSplit::kEven;
   }
   bool HasQuotas() const;
-  // The shares of all hosts that report to `ledger`, this one included.
-  QuotaShares Decide(QuotaLedger& ledger,
-                     std::shared_ptr<const TeamBook> teams);
+  // Returns the shares of all hosts that report to `ledger`, including this.
+  QuotaShares ComputeShares(QuotaLedger& ledger,
+                            std::shared_ptr<const TeamBook> teams);
   void RunOwner();
-  void RunCentre(const PeerAddress& reader);
-  void StandIn();
+  void RunWithoutOwner(const PeerAddress& reader);
+  void RunCentreLedger();
   std::shared_ptr<const TeamBook> CentreTeams() const;
   void LogThrottled(const QuotaShares& shares) const;
 
   NodeContext& context_;
   QuotaGate gate_;
   std::unique_ptr<QuotaLedger> ledger_;
-  QuotaShares shares_;  // As told or decided last.
-  TimePoint decided_at_;
-  int told_hosts_ = 0;  // As many as an owner told of; zero: none did.
+  QuotaShares shares_;  // Last received from the owner, or computed as owner.
+  TimePoint computed_at_;
+  int known_hosts_ = 0;  // Last host count of an owner; zero: no owner yet.
 
-  // Of each quota, that the hosts of this data centre have together.
+  // This data centre's part of each quota, by team.
   std::map<std::string, double> centre_parts_;
   std::unique_ptr<QuotaLedger> centre_ledger_;
   QuotaShares centre_shares_;
-  TimePoint asked_centre_at_;
+  TimePoint centre_reported_at_;
 };
 
 }  // namespace applehall
--- a/node/server_end_inbox.cc
+++ b/node/server_end_inbox.cc
@@ -7,49 +7,49 @@
 namespace applehall {
 namespace {
 
-constexpr size_t kMostRowsAReport = 64;
+constexpr size_t kMaxRowsPerReport = 64;
 
 }  // namespace
 
-std::optional<std::vector<ServerEndRow>> ServerEndInbox::Take(
+std::optional<std::vector<ServerEndRow>> ServerEndInbox::HandleReport(
     const std::string& host, const Json& report, TimePoint now) {
-  const auto life = FieldOr<uint64_t>(report, "life", 0);
+  const auto incarnation = FieldOr<uint64_t>(report, "life", 0);
   const Json rows = report.is_object() ? report.value("rows", Json()) : Json();
-  if (life == 0 || !rows.is_array() || rows.size() > kMostRowsAReport) {
+  if (incarnation == 0 || !rows.is_array() || rows.size() > kMaxRowsPerReport) {
     return std::nullopt;
   }
-  std::vector<ServerEndRow> taken;
+  std::vector<ServerEndRow> parsed;
   for (const Json& json : rows) {
     std::optional<ServerEndRow> row = ServerEndRowFromJson(json, now);
     if (!row) return std::nullopt;
-    taken.push_back(*std::move(row));
+    parsed.push_back(*std::move(row));
   }
-  std::erase_if(heard_, [now](const auto& item) {
+  std::erase_if(received_, [now](const auto& item) {
     return now - item.second.at > kQuarantineLife;
   });
-  Heard& heard = heard_[host];
-  // A report of an earlier life that came late.
-  if (life < heard.life) return std::vector<ServerEndRow>{};
-  if (life > heard.life) {
-    heard.life = life;
-    heard.number = 0;
+  Received& received = received_[host];
+  // A delayed report of an earlier incarnation.
+  if (incarnation < received.incarnation) return std::vector<ServerEndRow>{};
+  if (incarnation > received.incarnation) {
+    received.incarnation = incarnation;
+    received.number = 0;
   }
-  heard.at = now;
-  heard.is_ack_owed = true;
-  std::erase_if(taken, [&heard](const ServerEndRow& row) {
-    return row.number <= heard.number;
+  received.at = now;
+  received.is_ack_owed = true;
+  std::erase_if(parsed, [&received](const ServerEndRow& row) {
+    return row.number <= received.number;
   });
-  for (const ServerEndRow& row : taken) {
-    heard.number = std::max(heard.number, row.number);
+  for (const ServerEndRow& row : parsed) {
+    received.number = std::max(received.number, row.number);
   }
-  return taken;
+  return parsed;
 }
 
-Json ServerEndInbox::TakeAck(const std::string& host) {
-  const auto it = heard_.find(host);
-  if (it == heard_.end() || !it->second.is_ack_owed) return nullptr;
+Json ServerEndInbox::TakeOwedAck(const std::string& host) {
+  const auto it = received_.find(host);
+  if (it == received_.end() || !it->second.is_ack_owed) return nullptr;
   it->second.is_ack_owed = false;
-  return Json{{"life", it->second.life}, {"number", it->second.number}};
+  return Json{{"life", it->second.incarnation}, {"number", it->second.number}};
 }
 
 }  // namespace applehall
--- a/node/server_end_inbox.h
+++ b/node/server_end_inbox.h
@@ -10,27 +10,28 @@
 
 namespace applehall {
 
-// Which rows of each host the owner has; each counts once, however often it
-// comes.
+// Deduplicates the server end rows that hosts report to the owner, so that a
+// row that is sent again counts once.
 class ServerEndInbox {
  public:
-  // The rows of a report that are new here; nothing if it is malformed. Not
-  // thread-safe.
-  std::optional<std::vector<ServerEndRow>> Take(const std::string& host,
-                                                const Json& report,
-                                                TimePoint now);
-  // The acknowledgement that `host` is owed; null if none. Not thread-safe.
-  Json TakeAck(const std::string& host);
+  // Returns the rows of a report that were not received before; nothing if the
+  // report is malformed. Not thread-safe.
+  std::optional<std::vector<ServerEndRow>> HandleReport(const std::string& host,
+                                                        const Json& report,
+                                                        TimePoint now);
+  // Returns the acknowledgement that is due to `host` and marks it as sent;
+  // null if none is due. Not thread-safe.
+  Json TakeOwedAck(const std::string& host);
 
  private:
-  struct Heard {
-    uint64_t life = 0;
+  struct Received {
+    uint64_t incarnation = 0;
     uint64_t number = 0;
     bool is_ack_owed = false;
     TimePoint at;
   };
 
-  std::map<std::string, Heard> heard_;  // By host.
+  std::map<std::string, Received> received_;  // By host.
 };
 
 }  // namespace applehall
--- a/node/server_end_reports.cc
+++ b/node/server_end_reports.cc
@@ -8,9 +8,9 @@
 namespace applehall {
 namespace {
 
-constexpr size_t kMostRows = 256;
-// Some 60 bytes each; the next ones follow the acknowledgement.
-constexpr size_t kMostRowsAReport = 16;
+constexpr size_t kMaxRows = 256;
+// A row takes some 60 bytes. Further rows follow after the acknowledgement.
+constexpr size_t kMaxRowsPerReport = 16;
 constexpr Duration kResendInterval = std::chrono::milliseconds(500);
 
 bool IsExpired(const ServerEndRow& row, TimePoint now) {
@@ -31,14 +31,14 @@
 size_t ServerEndReports::Add(ServerEndRow row) {
   row.number = ++last_number_;
   rows_.push_back(std::move(row));
-  if (rows_.size() <= kMostRows) return 0;
-  // Without one that the present owner has only its successor lacks it.
+  if (rows_.size() <= kMaxRows) return 0;
+  // A row that the present owner acknowledged is lost only for its successor.
   const bool is_owed = rows_.front().number > acked_;
   rows_.pop_front();
   return is_owed ? 1 : 0;
 }
 
-void ServerEndReports::Forget(uint64_t fingerprint) {
+void ServerEndReports::Remove(uint64_t fingerprint) {
   std::erase_if(rows_, [fingerprint](const ServerEndRow& row) {
     return row.fingerprint == fingerprint;
   });
@@ -48,15 +48,15 @@
   size_t owed = 0;
   for (const ServerEndRow& row : rows_) {
     if (row.number <= acked_) continue;
-    if (++owed > kMostRowsAReport) return false;
+    if (++owed > kMaxRowsPerReport) return false;
     if (row.number > sent_) return true;
   }
   return false;
 }
 
-Json ServerEndReports::Take(FencingToken token, TimePoint now) {
+Json ServerEndReports::BuildReport(FencingToken token, TimePoint now) {
   if (token != token_) {
-    // A new owner has not heard what this host told the one before.
+    // A new owner has none of the rows that its predecessor acknowledged.
     token_ = token;
     acked_ = 0;
     sent_ = 0;
@@ -65,7 +65,7 @@
   Json rows = Json::array();
   for (const ServerEndRow& row : rows_) {
     if (row.number <= acked_) continue;
-    if (rows.size() == kMostRowsAReport) break;
+    if (rows.size() == kMaxRowsPerReport) break;
     rows.push_back(ServerEndRowToJson(row, now));
     sent_ = std::max(sent_, row.number);
   }
@@ -74,7 +74,7 @@
   return Json{{"life", self_.number}, {"rows", std::move(rows)}};
 }
 
-void ServerEndReports::TakeAck(FencingToken token, const Json& ack) {
+void ServerEndReports::HandleAck(FencingToken token, const Json& ack) {
   if (token != token_ || FieldOr<uint64_t>(ack, "life", 0) != self_.number) {
     return;
   }
--- a/node/server_end_reports.h
+++ b/node/server_end_reports.h
@@ -9,30 +9,34 @@
 
 namespace applehall {
 
-// The rows that this host owes the placement owner, each sent until the owner
-// acknowledges it: a cut may last longer than any number of reports. They are
-// kept after that for the next owner, which starts without them.
+// Outbox of server end rows for the placement owner. Each row is sent again
+// until the owner acknowledges it, because a network partition may outlast any
+// fixed number of reports. Acknowledged rows are kept for the next owner, which
+// starts without them.
 class ServerEndReports {
  public:
   explicit ServerEndReports(Incarnation self) : self_(std::move(self)) {}
 
-  // Numbers and keeps `row`; its number is given here. Returns how many rows
-  // it displaced. Not thread-safe.
+  // Assigns the next number to `row` and stores it. Returns the number of
+  // unacknowledged rows that were dropped for it. Not thread-safe.
   size_t Add(ServerEndRow row);
-  // Drops what was told of a content that is cleared. Not thread-safe.
-  void Forget(uint64_t fingerprint);
-  // A row waits that was never sent to the owner. Not thread-safe.
+  // Removes the rows of a content that was cleared. Not thread-safe.
+  void Remove(uint64_t fingerprint);
+  // True if the next report contains a row that was never sent to the owner.
+  // Not thread-safe.
   bool HasNew() const;
-  // What a report to the owner under `token` says: the oldest rows that it has
-  // not acknowledged; null if nothing is due. Not thread-safe.
-  Json Take(FencingToken token, TimePoint now);
-  // The owner under `token` has all rows up to one. Malformed acknowledgements
-  // and those of another life are ignored. Not thread-safe.
-  void TakeAck(FencingToken token, const Json& ack);
-  // Drops rows that matter no more; how many of them no owner had. Not
+  // Returns the report to the owner under `token`, with the oldest rows that it
+  // has not acknowledged; null if nothing is due. Not thread-safe.
+  Json BuildReport(FencingToken token, TimePoint now);
+  // Marks all rows up to the acknowledged number as received by the owner under
+  // `token`. Malformed acknowledgements and those of another incarnation are
+  // ignored. Not thread-safe.
+  void HandleAck(FencingToken token, const Json& ack);
+  // Drops expired rows. Returns how many of them were not acknowledged. Not
   // thread-safe.
   size_t DropExpired(TimePoint now);
-  // Rows that the present owner has not acknowledged. Not thread-safe.
+  // Returns the number of rows that the present owner has not acknowledged. Not
+  // thread-safe.
   size_t owed() const;
 
  private:
@@ -40,8 +44,8 @@
   std::deque<ServerEndRow> rows_;  // By number.
   uint64_t last_number_ = 0;
   FencingToken token_ = 0;
-  uint64_t acked_ = 0;  // By the owner under `token_`.
-  uint64_t sent_ = 0;   // To it, up to this row.
+  uint64_t acked_ = 0;  // Last number acknowledged by the owner of `token_`.
+  uint64_t sent_ = 0;   // Last number sent to it.
   TimePoint sent_at_;
 };
 
--- a/node/server_end_row.h
+++ b/node/server_end_row.h
@@ -10,26 +10,26 @@
 
 namespace applehall {
 
-// What a host tells the placement owner of one content.
+// Report of a host to the placement owner about one content.
 struct ServerEndRow {
-  // As numbered on the wire between hosts.
+  // The values are those on the wire between hosts.
   enum class Kind : uint8_t {
-    kEnd,      // A server ended with it under way.
-    kLateEnd,  // The same, with its answer long under way.
-    kCleared,  // A server ran it to its end.
-    kProven,   // This host put it under quarantine, without its owner.
+    kEnd,      // A server ended while it ran the content.
+    kLateEnd,  // The same, but the answer had been under way for long.
+    kCleared,  // A server answered the content completely.
+    kProven,   // This host quarantined the content without the owner.
   };
 
-  uint64_t number = 0;  // Ascends; one host life's rows only.
+  uint64_t number = 0;  // Ascends within one incarnation of a host.
   Kind kind = Kind::kEnd;
   uint64_t fingerprint = 0;
-  std::string server{};  // Of an end.
+  std::string server{};  // kEnd and kLateEnd only.
   TimePoint at{};        // kProven: when the quarantine ends.
 };
 
-// On the wire times are relative, as hosts' clocks differ. Thread-safe.
+// Times are relative on the wire, because of clock skew. Thread-safe.
 Json ServerEndRowToJson(const ServerEndRow& row, TimePoint now);
-// Nothing if it is malformed. Thread-safe.
+// Returns nothing if `json` is malformed. Thread-safe.
 std::optional<ServerEndRow> ServerEndRowFromJson(const Json& json,
                                                  TimePoint now);
 
--- a/node/server_ends.cc
+++ b/node/server_ends.cc
@@ -3,28 +3,29 @@
 namespace applehall {
 namespace {
 
-// A probe that has no answer after this long was lost on its way to the thread
-// that runs it: its own timeout is a quarter of it.
-constexpr Duration kProbeLife = std::chrono::seconds(2);
-// Requests of one host under way at one server; engines run some 64.
-constexpr size_t kMostCuts = 256;
+// A probe without a result after this time was lost before the probing thread
+// ran it: the timeout of a probe is a quarter of this.
+constexpr Duration kProbeTtl = std::chrono::seconds(2);
+// Maximum number of requests of one host recorded for one probe. Engines run
+// some 64 at a time.
+constexpr size_t kMaxCuts = 256;
 
 }  // namespace
 
 bool ServerEnds::NoteCut(const std::string& server, const CutRequest& cut,
                          TimePoint now) {
-  Probe& probe = open_[server];
-  const bool is_due = probe.cuts.empty() || now - probe.asked_at > kProbeLife;
+  Probe& probe = probes_[server];
+  const bool is_due = probe.cuts.empty() || now - probe.sent_at > kProbeTtl;
   if (is_due) probe = {now, {}};
-  if (probe.cuts.size() < kMostCuts) probe.cuts.push_back(cut);
+  if (probe.cuts.size() < kMaxCuts) probe.cuts.push_back(cut);
   return is_due;
 }
 
 std::vector<CutRequest> ServerEnds::TakeProbe(const ServerProbed& probed) {
-  const auto it = open_.find(probed.server);
-  if (it == open_.end()) return {};
+  const auto it = probes_.find(probed.server);
+  if (it == probes_.end()) return {};
   std::vector<CutRequest> cuts = std::move(it->second.cuts);
-  open_.erase(it);
+  probes_.erase(it);
   if (probed.state != ServerState::kGone) return {};
   return cuts;
 }
--- a/node/server_ends.h
+++ b/node/server_ends.h
@@ -9,34 +9,35 @@
 
 namespace applehall {
 
-// A request whose answer a backend server broke off by closing the connection.
+// A request whose connection a backend server closed before the answer's end.
 struct CutRequest {
   uint64_t fingerprint = 0;
   // For how long its answer had been under way.
   Duration answered_for{0};
 };
 
-// Tells servers that ended from servers that only closed a connection.
+// Distinguishes servers that ended from servers that only closed a connection.
 //
-// A server that ends closes all its connections and listens no more; one that
-// gives up a single request goes on listening. Its address is asked once for
-// all requests that were cut in that moment; the answer takes one round trip,
-// where the listing shows a server that ended after some seconds.
+// A server that ends closes all its connections and its listening socket; one
+// that aborts a single request keeps listening. One probe of the address covers
+// all requests that were cut at the same time. It takes one round trip, while
+// the server list shows the end only after some seconds.
 class ServerEnds {
  public:
-  // True if the server's address must be probed now. Not thread-safe.
+  // Records a cut request. Returns true if the caller must probe the server's
+  // address now. Not thread-safe.
   bool NoteCut(const std::string& server, const CutRequest& cut, TimePoint now);
-  // The requests under which `probed.server` ended; none if it goes on or does
-  // not tell. Not thread-safe.
+  // Returns the requests that were under way when `probed.server` ended; none
+  // if it still listens or its state is unknown. Not thread-safe.
   std::vector<CutRequest> TakeProbe(const ServerProbed& probed);
 
  private:
   struct Probe {
-    TimePoint asked_at;
+    TimePoint sent_at;
     std::vector<CutRequest> cuts;
   };
 
-  std::map<std::string, Probe> open_;  // By server.
+  std::map<std::string, Probe> probes_;  // By server.
 };
 
 }  // namespace applehall
--- a/tests/node/limit_book_test.cc
+++ b/tests/node/limit_book_test.cc
@@ -19,9 +19,9 @@
 }
 const ReportedLimit kNone{Kind::kNone, 0, {}};
 
-class LimitBookTest : public testing::Test {
+class LimitRegistryTest : public testing::Test {
  protected:
-  LimitBookTest() { List(now_); }
+  LimitRegistryTest() { List(now_); }
 
   void List(TimePoint started_at) {
     ListedServer server;
@@ -29,11 +29,12 @@
     server.started_at = started_at;
     servers_[kServer] = server;
   }
-  // What `host` observed reaches the owner, and the owner's word all hosts.
+  // Delivers the report of `host` to the owner and the owner's plan to both
+  // hosts.
   void Exchange(LimitBook& host, LimitBook& other) {
     now_ += milliseconds(20);
     owner_.TakeReport(host.ReportRows(kToken, servers_, now_), servers_, now_);
-    owner_.NumberRows(news_);
+    owner_.NumberRows(last_update_);
     const Json rows = owner_.PlanRows(0, servers_, now_);
     host.TakePlan(rows, kToken, servers_, now_);
     other.TakePlan(rows, kToken, servers_, now_);
@@ -45,10 +46,10 @@
   LimitBook owner_;
   LimitBook a_;
   LimitBook b_;
-  uint64_t news_ = 0;
+  uint64_t last_update_ = 0;
 };
 
-TEST_F(LimitBookTest, LimitReachesAllHosts) {
+TEST_F(LimitRegistryTest, LimitReachesAllHosts) {
   EXPECT_TRUE(a_.TakeReported(kServer, Named(1.5), now_, now_));
   EXPECT_TRUE(a_.HasNewRows());
   Exchange(a_, b_);
@@ -56,9 +57,9 @@
   EXPECT_FALSE(a_.HasNewRows());
 }
 
-// Guards against an answer that was written before the limit and arrives after
-// it: it would lift the limit.
-TEST_F(LimitBookTest, OlderAnswersNeitherRaiseNorLiftALimit) {
+// Guards against an answer that overtook the answer with the limit: a delayed
+// older answer would lift the limit.
+TEST_F(LimitRegistryTest, OlderAnswersNeitherRaiseNorLiftALimit) {
   const TimePoint before = now_;
   now_ += seconds(1);
   a_.TakeReported(kServer, Named(1), now_, now_);
@@ -71,9 +72,9 @@
   EXPECT_FALSE(a_.Find(kServer).has_value());
 }
 
-// Guards against a host that reports a limit as lifted which another host has
-// heard lowered meanwhile.
-TEST_F(LimitBookTest, OwnerTakesOnlyWordsOnItsNewestVersion) {
+// Guards against a stale report of one host that lifts a limit which another
+// host has reported as lowered meanwhile.
+TEST_F(LimitRegistryTest, OwnerIgnoresReportsAboutOlderVersions) {
   a_.TakeReported(kServer, Named(4), now_, now_);
   Exchange(a_, b_);
   now_ += seconds(1);
@@ -86,7 +87,7 @@
   EXPECT_EQ(b_.Find(kServer), 1);
 }
 
-TEST_F(LimitBookTest, LiftedLimitIsLiftedEverywhere) {
+TEST_F(LimitRegistryTest, LiftedLimitIsLiftedAtAllHosts) {
   a_.TakeReported(kServer, Named(4), now_, now_);
   Exchange(a_, b_);
   b_.TakeReported(kServer, kNone, now_, now_);
@@ -96,15 +97,16 @@
   EXPECT_TRUE(a_.Limits().empty());
 }
 
-// Guards against a server that starts again under its id and is held to what
-// its earlier life named, by a late answer or by a host that has not heard.
-TEST_F(LimitBookTest, LimitEndsWithTheLifeThatNamedIt) {
+// Guards against a server that restarts under its id and keeps the limit of its
+// earlier incarnation, by a late answer or by the report of a host that has not
+// recorded the restart.
+TEST_F(LimitRegistryTest, RestartOfTheServerEndsItsLimit) {
   a_.TakeReported(kServer, Named(1), now_, now_);
   Exchange(a_, b_);
   const TimePoint sent_before = now_;
   now_ += seconds(1);
   List(now_);
-  for (LimitBook* book : {&owner_, &a_}) book->Forget(kServer, now_);
+  for (LimitBook* registry : {&owner_, &a_}) registry->Remove(kServer, now_);
   EXPECT_FALSE(a_.TakeReported(kServer, Named(1), sent_before, now_));
   EXPECT_FALSE(a_.Find(kServer).has_value());
   EngineList earlier = servers_;
@@ -114,7 +116,7 @@
   EXPECT_FALSE(owner_.Find(kServer).has_value());
 }
 
-TEST_F(LimitBookTest, LimitThatNobodyNamesAnyMoreEnds) {
+TEST_F(LimitRegistryTest, LimitThatNoAnswerNamesExpires) {
   a_.TakeReported(kServer, Named(1), now_, now_);
   Exchange(a_, b_);
   for (int i = 0; i < 3; ++i) {
@@ -131,8 +133,9 @@
   EXPECT_FALSE(a_.Find(kServer).has_value());
 }
 
-// A new owner knows nothing; what all hosts know reaches it with their reports.
-TEST_F(LimitBookTest, NewOwnerLearnsFromTheHosts) {
+// Guards against a new owner, which starts without limits and must receive them
+// with the first reports of the hosts.
+TEST_F(LimitRegistryTest, HostsReportKnownLimitsToANewOwner) {
   a_.TakeReported(kServer, Named(2), now_, now_);
   Exchange(a_, b_);
   LimitBook next;
@@ -140,8 +143,8 @@
   EXPECT_EQ(next.Find(kServer), 2);
 }
 
-// Guards against rows of another version of the program, or of none.
-TEST_F(LimitBookTest, MalformedRowsAreLeftOut) {
+// Guards against rows of another program version, and corrupt ones.
+TEST_F(LimitRegistryTest, MalformedRowsAreIgnored) {
   a_.TakeReported(kServer, Named(2), now_, now_);
   const Json good = a_.ReportRows(kToken, servers_, now_);
   Random random(20261203);
@@ -153,20 +156,20 @@
           static_cast<char>(32 + random.Below(95));
     }
     const Json rows = Json::parse(mutated, nullptr, /*allow_exceptions=*/false);
-    LimitBook book;
-    book.TakeReport(rows, servers_, now_);
-    book.TakePlan(rows, kToken, servers_, now_);
-    for (const auto& [server, per_second] : book.Limits()) {
+    LimitBook registry;
+    registry.TakeReport(rows, servers_, now_);
+    registry.TakePlan(rows, kToken, servers_, now_);
+    for (const auto& [server, per_second] : registry.Limits()) {
       EXPECT_GE(per_second, 0) << mutated;
     }
   }
   for (const char* rows :
        {"null", "3", "{}", R"([["i-1"]])", R"([["i-1",0,"x",0,0]])",
         R"([["i-1",0,1,0,-1]])", R"([["i-1",0,1,-5,0,9]])"}) {
-    LimitBook book;
-    book.TakeReport(*ParseJson(rows), servers_, now_);
-    book.TakePlan(*ParseJson(rows), kToken, servers_, now_);
-    EXPECT_TRUE(book.Limits().empty()) << rows;
+    LimitBook registry;
+    registry.TakeReport(*ParseJson(rows), servers_, now_);
+    registry.TakePlan(*ParseJson(rows), kToken, servers_, now_);
+    EXPECT_TRUE(registry.Limits().empty()) << rows;
   }
 }
 
--- a/tests/node/limit_fleet.h
+++ b/tests/node/limit_fleet.h
@@ -1,5 +1,5 @@
-// The limit keepers of many hosts and what they say to each other, under a
-// paused clock, before servers that name limits in their answers.
+// Limit managers of many hosts and their messages, with a simulated clock and a
+// server that names limits in its answers.
 
 #ifndef APPLEHALL_TESTS_NODE_LIMIT_FLEET_H_
 #define APPLEHALL_TESTS_NODE_LIMIT_FLEET_H_
@@ -22,14 +22,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// How far the users' rule lets a limited server be sent more.
+// A limited server may get kLimitFactor times its limit plus kLimitSlack
+// requests in a window. Only hosts count that received the limit
+// kLimitPropagation ago and had contact to the owner for kContact.
 inline constexpr Duration kLimitWindow = seconds(4);
 inline constexpr double kLimitFactor = 1.5;
 inline constexpr double kLimitSlack = 5;
 inline constexpr Duration kContact = seconds(3);
-inline constexpr Duration kTold = milliseconds(500);
+inline constexpr Duration kLimitPropagation = milliseconds(500);
 
-// One server is enough: limits of different servers do not touch each other.
+// Simulates one server, because limits of servers are independent.
 class LimitFleet {
  public:
   static constexpr char kServer[] = "i-1";
@@ -48,8 +50,8 @@
   }
 
   void SetDemand(double per_second) { demand_ = per_second; }
-  void SetPatience(Duration patience) { patience_ = patience; }
-  // The server names it in all answers from now on; below zero: none.
+  void SetMaxWait(Duration patience) { max_wait_ = patience; }
+  // Sets the limit that the server names in its answers; below zero: none.
   void SetLimit(double per_second) {
     limit_ = per_second;
     if (per_second >= 0) allowed_.push_back({now_, per_second});
@@ -69,10 +71,10 @@
     Excuse(host);
     if (owner_ == host) owner_.reset();
   }
-  // The owner is gone, with its process; another one begins after `gap`.
+  // Restarts the owner; another host takes over after `gap`.
   void ReplaceOwner(Duration gap) {
     if (owner_) Restart(*owner_);
-    owner_begins_ = now_ + gap;
+    owner_starts_at_ = now_ + gap;
   }
   std::optional<size_t> owner() const { return owner_; }
   size_t size() const { return hosts_.size(); }
@@ -82,7 +84,7 @@
   void Run(Duration duration) {
     for (const TimePoint end = now_ + duration; now_ < end;) {
       now_ += kStep;
-      if (!owner_ && now_ >= owner_begins_) {
+      if (!owner_ && now_ >= owner_starts_at_) {
         TakeOver(random_.Below(hosts_.size()));
       }
       Deliver();
@@ -93,14 +95,14 @@
     }
   }
 
-  // The most that the server got in a window, over what the users' rule allows
-  // there; only of hosts that were told and are not excused.
+  // Returns the most requests in a window, relative to the allowed number.
+  // Counts only hosts that received the limit and are not excused.
   double WorstWindow() const {
     double worst = 0;
     std::deque<TimePoint> window;
     for (const Arrival& arrival : arrivals_) {
-      const bool counts = arrival.is_told && !arrival.is_excused && named_at_ &&
-                          arrival.at >= *named_at_ + kContact;
+      const bool counts = arrival.has_limit && !arrival.is_excused &&
+                          named_at_ && arrival.at >= *named_at_ + kContact;
       if (!counts) continue;
       window.push_back(arrival.at);
       while (arrival.at - window.front() > kLimitWindow) window.pop_front();
@@ -114,10 +116,10 @@
   }
 
   struct Count {
-    int asked = 0;
+    int requested = 0;
     int sent = 0;
   };
-  // Since the last call.
+  // Returns the counts since the last call.
   Count TakeCount() { return std::exchange(count_, {}); }
   int messages() const { return messages_; }
   size_t bytes() const { return bytes_; }
@@ -128,11 +130,11 @@
   static constexpr Duration kDelay = milliseconds(5);
   static constexpr Duration kReportInterval = milliseconds(500);
   static constexpr Duration kPlanInterval = milliseconds(250);
-  static constexpr Duration kTrust = seconds(1);
+  static constexpr Duration kOwnerTimeout = seconds(1);
 
   struct Host {
     std::unique_ptr<NodeContext> context;
-    std::unique_ptr<LimitKeeper> keeper;
+    std::unique_ptr<LimitKeeper> manager;
     std::vector<Action> actions;
     uint64_t incarnation = 0;
     bool is_cut = false;
@@ -140,14 +142,14 @@
     TimePoint excused_until;
     TimePoint ticked_at;
     TimePoint reported_at;
-    TimePoint heard_at;
+    TimePoint plan_received_at;
     std::optional<size_t> owner;
     FencingToken token = 0;
-    std::optional<TimePoint> told_at;
-    TimePoint held_until;
+    std::optional<TimePoint> limit_received_at;
+    TimePoint backoff_until;
     RequestHandle last_handle = 0;
     std::map<RequestHandle, TimePoint> open;
-    uint64_t sent_news = 0;  // Of the plans to it, at the owner.
+    uint64_t sent_update = 0;  // Last update in a plan to it, at the owner.
   };
   struct Message {
     TimePoint due;
@@ -158,7 +160,7 @@
   };
   struct Arrival {
     TimePoint at;
-    bool is_told = false;
+    bool has_limit = false;
     bool is_excused = false;
   };
   struct Answer {
@@ -166,7 +168,7 @@
     size_t host = 0;
     uint64_t incarnation = 0;
     TimePoint sent_at;
-    ReportedLimit word;
+    ReportedLimit reported_limit;
   };
 
   void Start(size_t i) {
@@ -180,14 +182,14 @@
     host.context = std::make_unique<NodeContext>(settings);
     host.context->actions = &host.actions;
     host.context->now = now_;
-    host.keeper = std::make_unique<LimitKeeper>(*host.context);
+    host.manager = std::make_unique<LimitKeeper>(*host.context);
     host.open.clear();
-    host.heard_at = {};
+    host.plan_received_at = {};
     host.owner.reset();
     host.token = 0;
-    host.told_at.reset();
-    host.held_until = {};
-    host.sent_news = 0;
+    host.limit_received_at.reset();
+    host.backoff_until = {};
+    host.sent_update = 0;
   }
 
   void Excuse(size_t i) { hosts_[i].excused_until = now_ + kContact; }
@@ -195,7 +197,7 @@
     return host.is_cut || host.frozen_until > now_ ||
            host.excused_until > now_ || host.frozen_until + kContact > now_;
   }
-  bool IsAwake(const Host& host) const { return host.frozen_until <= now_; }
+  bool IsRunning(const Host& host) const { return host.frozen_until <= now_; }
 
   void TakeOver(size_t i) {
     owner_ = i;
@@ -204,12 +206,12 @@
     host.context->now = now_;
     host.owner.reset();
     host.token = token_;
-    last_news_ = 0;
-    for (Host& other : hosts_) other.sent_news = 0;
+    last_update_ = 0;
+    for (Host& other : hosts_) other.sent_update = 0;
     host.context->fleet_hosts = static_cast<int>(size());
-    host.keeper->StartPlanning(last_news_);
+    host.manager->StartPlanning(last_update_);
     for (size_t j = 0; j < size(); ++j) {
-      if (j != i) hosts_[j].keeper->StopPlanning();
+      if (j != i) hosts_[j].manager->StopPlanning();
     }
   }
 
@@ -221,7 +223,7 @@
         {now_ + kDelay, from, to, hosts_[to].incarnation, std::move(message)});
   }
 
-  // What a keeper wants sent.
+  // Sends the messages that a manager emitted.
   void Flush(size_t i) {
     for (Action& action : std::exchange(hosts_[i].actions, {})) {
       auto* peer = std::get_if<SendPeer>(&action);
@@ -236,41 +238,41 @@
     for (Message& message : due) {
       Host& host = hosts_[message.to];
       if (host.incarnation != message.incarnation) continue;
-      if (message.due > now_ || !IsAwake(host)) {
+      if (message.due > now_ || !IsRunning(host)) {
         later.push_back(std::move(message));
         continue;
       }
-      Take(message);
+      HandleMessage(message);
     }
     messages_due_.insert(messages_due_.end(),
                          std::make_move_iterator(later.begin()),
                          std::make_move_iterator(later.end()));
   }
 
-  void Take(const Message& message) {
+  void HandleMessage(const Message& message) {
     Host& host = hosts_[message.to];
     host.context->now = now_;
     const Json& body = message.message.body;
     const std::string from = absl::StrCat("h", message.from);
     switch (message.message.type) {
       case PeerMessageType::kPermitAsk:
-        host.keeper->TakeAsks(from, body);
+        host.manager->TakeAsks(from, body);
         break;
       case PeerMessageType::kPermitAnswer:
-        host.keeper->TakeAnswers(body);
+        host.manager->TakeAnswers(body);
         break;
       case PeerMessageType::kFleetReport:
-        host.keeper->NoteHost(from);
-        host.keeper->TakeReport(from, body["limits"], servers_);
+        host.manager->NoteHost(from);
+        host.manager->TakeReport(from, body["limits"], servers_);
         break;
       case PeerMessageType::kFleetPlan: {
         const FencingToken token = body["k"].get<FencingToken>();
         if (token < host.token) break;
         host.token = token;
         host.owner = message.from;
-        host.heard_at = now_;
+        host.plan_received_at = now_;
         host.context->fleet_hosts = static_cast<int>(size());
-        host.keeper->TakePlan(body["limits"], token, servers_);
+        host.manager->TakePlan(body["limits"], token, servers_);
         break;
       }
       default:
@@ -279,17 +281,17 @@
     AfterEvent(message.to);
   }
 
-  // What follows each event of a host.
+  // Handles the outcomes of pending permits and sends emitted messages.
   void AfterEvent(size_t i) {
     Host& host = hosts_[i];
-    for (const LimitKeeper::Outcome& outcome : host.keeper->TakeOutcomes()) {
+    for (const LimitKeeper::Outcome& outcome : host.manager->TakeOutcomes()) {
       const bool is_open = host.open.erase(outcome.handle) > 0;
       if (outcome.is_granted && is_open) {
-        Arrive(i);
+        DeliverRequest(i);
       } else if (outcome.is_granted) {
-        host.keeper->ReturnPermit(kServer);
+        host.manager->ReturnPermit(kServer);
       } else {
-        host.held_until = now_ + outcome.retry_after;
+        host.backoff_until = now_ + outcome.retry_after;
       }
     }
     Flush(i);
@@ -297,7 +299,7 @@
 
   void RunHost(size_t i) {
     Host& host = hosts_[i];
-    if (!IsAwake(host) || now_ - host.ticked_at < kTick) return;
+    if (!IsRunning(host) || now_ - host.ticked_at < kTick) return;
     host.ticked_at = now_;
     host.context->now = now_;
     const bool is_owner = owner_ == i;
@@ -305,15 +307,16 @@
     if (!is_owner && host.owner) {
       owner.host = owner.address = absl::StrCat("h", *host.owner);
     }
-    host.keeper->RunTick(owner, host.token,
-                         !is_owner && now_ - host.heard_at <= kTrust);
+    host.manager->RunTick(
+        owner, host.token,
+        !is_owner && now_ - host.plan_received_at <= kOwnerTimeout);
     std::erase_if(host.open,
                   [this](const auto& item) { return item.second <= now_; });
     const Duration interval =
-        host.keeper->HasNewRows() ? kTick : kReportInterval;
+        host.manager->HasNewRows() ? kTick : kReportInterval;
     if (host.owner && !is_owner && now_ - host.reported_at >= interval) {
       host.reported_at = now_;
-      Json rows = host.keeper->ReportRows(host.token, servers_);
+      Json rows = host.manager->ReportRows(host.token, servers_);
       Send(i, *host.owner,
            {PeerMessageType::kFleetReport, Json{{"limits", std::move(rows)}}});
     }
@@ -321,18 +324,18 @@
   }
 
   void RunOwner() {
-    if (!owner_ || !IsAwake(hosts_[*owner_])) return;
+    if (!owner_ || !IsRunning(hosts_[*owner_])) return;
     Host& host = hosts_[*owner_];
     host.context->now = now_;
-    const uint64_t before = last_news_;
-    host.keeper->NumberRows(last_news_);
-    if (before == last_news_ && now_ - planned_at_ < kPlanInterval) return;
+    const uint64_t before = last_update_;
+    host.manager->NumberRows(last_update_);
+    if (before == last_update_ && now_ - planned_at_ < kPlanInterval) return;
     planned_at_ = now_;
     for (size_t i = 0; i < size(); ++i) {
       if (i == *owner_) continue;
-      Json rows = host.keeper->PlanRows(hosts_[i].sent_news, servers_);
-      // A plan that is lost is told again: the next one says what it missed.
-      if (!hosts_[i].is_cut) hosts_[i].sent_news = last_news_;
+      Json rows = host.manager->PlanRows(hosts_[i].sent_update, servers_);
+      // After a lost plan the next one repeats its updates.
+      if (!hosts_[i].is_cut) hosts_[i].sent_update = last_update_;
       Send(*owner_, i,
            {PeerMessageType::kFleetPlan,
             Json{{"k", token_}, {"limits", std::move(rows)}}});
@@ -342,50 +345,52 @@
   void RunCallers() {
     double due = demand_ * ToSeconds(kStep);
     for (; due > 0; due -= 1) {
-      if (random_.Unit() < due) Ask(random_.Below(size()));
+      if (random_.Unit() < due) SendRequest(random_.Below(size()));
     }
   }
 
-  void Ask(size_t i) {
+  void SendRequest(size_t i) {
     Host& host = hosts_[i];
-    if (!IsAwake(host)) return;
-    ++count_.asked;
+    if (!IsRunning(host)) return;
+    ++count_.requested;
     host.context->now = now_;
-    if (!host.keeper->IsLimited(kServer)) {
-      Arrive(i);
+    if (!host.manager->IsLimited(kServer)) {
+      DeliverRequest(i);
       return;
     }
-    if (host.held_until > now_) return;
+    if (host.backoff_until > now_) return;
     const RequestHandle handle = ++host.last_handle;
     LimitKeeper::PermitRequest wanted;
     wanted.handle = handle;
     wanted.caller = "c";
-    wanted.patience = patience_;
-    switch (host.keeper->Acquire(kServer, wanted)) {
+    wanted.patience = max_wait_;
+    switch (host.manager->Acquire(kServer, wanted)) {
       case LimitKeeper::Permit::kGranted:
-        Arrive(i);
+        DeliverRequest(i);
         break;
       case LimitKeeper::Permit::kPending:
-        host.open[handle] = now_ + patience_ + seconds(1);
+        host.open[handle] = now_ + max_wait_ + seconds(1);
         break;
       case LimitKeeper::Permit::kDenied:
-        host.held_until = now_ + milliseconds(100);
+        host.backoff_until = now_ + milliseconds(100);
         break;
     }
     AfterEvent(i);
   }
 
-  void Arrive(size_t i) {
+  void DeliverRequest(size_t i) {
     Host& host = hosts_[i];
     ++count_.sent;
-    const bool is_told = host.told_at && now_ >= *host.told_at + kTold;
-    arrivals_.push_back({now_, is_told, IsExcused(host)});
+    const bool has_limit = host.limit_received_at &&
+                           now_ >= *host.limit_received_at + kLimitPropagation;
+    arrivals_.push_back({now_, has_limit, IsExcused(host)});
     using Kind = ReportedLimit::Kind;
-    const ReportedLimit word = limit_ < 0
-                                   ? ReportedLimit{Kind::kNone, 0, {}}
-                                   : ReportedLimit{Kind::kNamed, limit_, {}};
+    const ReportedLimit reported_limit =
+        limit_ < 0 ? ReportedLimit{Kind::kNone, 0, {}}
+                   : ReportedLimit{Kind::kNamed, limit_, {}};
     const Duration takes = milliseconds(50 + random_.Below(400));
-    answers_.push_back({now_ + takes, i, host.incarnation, now_, word});
+    answers_.push_back(
+        {now_ + takes, i, host.incarnation, now_, reported_limit});
   }
 
   void RunAnswers() {
@@ -393,21 +398,23 @@
     for (const Answer& answer : std::exchange(answers_, {})) {
       Host& host = hosts_[answer.host];
       if (answer.incarnation != host.incarnation) continue;
-      if (answer.due > now_ || !IsAwake(host)) {
+      if (answer.due > now_ || !IsRunning(host)) {
         later.push_back(answer);
         continue;
       }
       host.context->now = now_;
-      host.keeper->TakeReported(kServer, answer.word, answer.sent_at);
-      const bool is_named = answer.word.kind == ReportedLimit::Kind::kNamed;
-      if (is_named && !host.told_at) host.told_at = now_;
+      host.manager->TakeReported(kServer, answer.reported_limit,
+                                 answer.sent_at);
+      const bool is_named =
+          answer.reported_limit.kind == ReportedLimit::Kind::kNamed;
+      if (is_named && !host.limit_received_at) host.limit_received_at = now_;
       AfterEvent(answer.host);
     }
     answers_.insert(answers_.end(), later.begin(), later.end());
   }
 
-  // The highest limit in force at some moment of a span; below zero if there
-  // was none all the while.
+  // Returns the highest limit in force between `from` and `to`; below zero if
+  // there was none.
   double HighestLimit(TimePoint from, TimePoint to) const {
     double highest = -1;
     for (size_t i = 0; i < allowed_.size(); ++i) {
@@ -425,14 +432,14 @@
   TimePoint now_{std::chrono::hours(500000)};
   uint64_t incarnations_ = 0;
   double demand_ = 0;
-  Duration patience_{0};
+  Duration max_wait_{0};
   double limit_ = -1;
   std::optional<TimePoint> named_at_;
   std::vector<std::pair<TimePoint, double>> allowed_;
   std::optional<size_t> owner_;
-  TimePoint owner_begins_;
+  TimePoint owner_starts_at_;
   FencingToken token_ = 0;
-  uint64_t last_news_ = 0;
+  uint64_t last_update_ = 0;
   TimePoint planned_at_;
   std::vector<Message> messages_due_;
   std::vector<Answer> answers_;
--- a/tests/node/limit_keeper_test.cc
+++ b/tests/node/limit_keeper_test.cc
@@ -1,5 +1,4 @@
-// Servers that limit themselves are kept within their limits by all hosts
-// together, and their limits are used.
+// All hosts together keep within the limits that servers name, and use them.
 
 #include "node/limit_keeper.h"
 
@@ -16,7 +15,7 @@
 
 void NameLimit(LimitFleet& fleet, double per_second, double demand) {
   fleet.SetDemand(demand);
-  fleet.SetPatience(milliseconds(300));
+  fleet.SetMaxWait(milliseconds(300));
   fleet.Run(seconds(2));
   fleet.SetLimit(per_second);
   fleet.Run(seconds(4));
@@ -34,9 +33,9 @@
   }
 }
 
-// Guards against a burst that is over before the owner hears of it: a share of
-// the requests, told in advance, lets a jump of demand through.
-TEST_P(LimitFleetTest, SuddenDemandIsHeldBack) {
+// Guards against a burst that is over before the owner receives a report of it:
+// a share of the requests, sent in advance, would let the burst through.
+TEST_P(LimitFleetTest, BurstOfDemandStaysWithinTheLimit) {
   LimitFleet fleet(GetParam(), 2);
   NameLimit(fleet, 1, 0.5);
   for (int i = 0; i < 5; ++i) {
@@ -48,13 +47,13 @@
   EXPECT_LE(fleet.WorstWindow(), 1);
 }
 
-// Guards against refusals while the limit leaves room.
-TEST_P(LimitFleetTest, WhatStaysWithinTheLimitIsSent) {
+// Guards against refusals while the limit is not used up.
+TEST_P(LimitFleetTest, DemandWithinTheLimitIsSent) {
   LimitFleet fleet(GetParam(), 3);
   NameLimit(fleet, 10, 5);
   fleet.Run(seconds(30));
   const LimitFleet::Count count = fleet.TakeCount();
-  EXPECT_GE(count.sent, 0.98 * count.asked);
+  EXPECT_GE(count.sent, 0.98 * count.requested);
 }
 
 TEST_P(LimitFleetTest, LimitIsRaisedLoweredAndLifted) {
@@ -73,11 +72,12 @@
   fleet.TakeCount();
   fleet.Run(seconds(5));
   const LimitFleet::Count free = fleet.TakeCount();
-  EXPECT_GE(free.sent, 0.98 * free.asked);
+  EXPECT_GE(free.sent, 0.98 * free.requested);
 }
 
-// Guards against a server that is never asked again once it has named zero.
-TEST_P(LimitFleetTest, ServerThatTakesNothingIsTriedNowAndThen) {
+// Guards against a server that never gets a request again once it has named a
+// limit of zero, so that no answer can lift the limit.
+TEST_P(LimitFleetTest, ServerWithLimitZeroIsProbedPeriodically) {
   LimitFleet fleet(GetParam(), 5);
   NameLimit(fleet, 0, 20);
   fleet.Run(seconds(60));
@@ -89,12 +89,12 @@
   fleet.TakeCount();
   fleet.Run(seconds(5));
   const LimitFleet::Count free = fleet.TakeCount();
-  EXPECT_GE(free.sent, 0.98 * free.asked);
+  EXPECT_GE(free.sent, 0.98 * free.requested);
 }
 
-// Guards against a limit that each owner gives out anew, and against hosts that
-// all send while there is none.
-TEST_P(LimitFleetTest, LostOwnersGiveNothingOutTwice) {
+// Guards against owners that each grant the whole limit anew, and against hosts
+// that all send while there is no owner.
+TEST_P(LimitFleetTest, LimitIsKeptWhileOwnersAreReplaced) {
   LimitFleet fleet(GetParam(), 6);
   NameLimit(fleet, 1, 30);
   for (int i = 0; i < 12; ++i) {
@@ -104,9 +104,9 @@
   EXPECT_LE(fleet.WorstWindow(), 1);
 }
 
-// Guards against a host that wakes with permits of long ago, or an owner that
-// does.
-TEST_P(LimitFleetTest, FrozenHostsSendNothingOld) {
+// Guards against a host or an owner that is suspended and resumes with expired
+// permits.
+TEST_P(LimitFleetTest, SuspendedHostsUseNoExpiredPermits) {
   LimitFleet fleet(GetParam(), 7);
   NameLimit(fleet, 1, 30);
   for (int i = 0; i < 10; ++i) {
@@ -117,9 +117,9 @@
   EXPECT_LE(fleet.WorstWindow(), 1);
 }
 
-// Guards against a cut that doubles the limit: those behind it go by their own
-// part, which the owner sets aside.
-TEST_P(LimitFleetTest, BothSidesOfACutTogetherKeepToTheLimit) {
+// Guards against a network partition that doubles the limit: the hosts without
+// the owner use their own part, which the owner must reserve.
+TEST_P(LimitFleetTest, BothSidesOfAPartitionTogetherKeepWithinTheLimit) {
   for (const double limit : {1.0, 10.0}) {
     LimitFleet fleet(GetParam(), 8);
     NameLimit(fleet, limit, 10 * limit);
@@ -132,8 +132,8 @@
   }
 }
 
-// Guards against the ways that failures overlap. Seeds are printed.
-TEST_P(LimitFleetTest, LimitHoldsThroughRandomFailures) {
+// Guards against combinations of failures. Seeds are printed.
+TEST_P(LimitFleetTest, LimitIsKeptDuringRandomFailures) {
   const int seeds = GetParam() > 100 ? 6 : 20;
   for (int seed = 1; seed <= seeds; ++seed) {
     SCOPED_TRACE(absl::StrCat("hosts ", GetParam(), " seed ", seed));
--- a/tests/node/limit_ways_test.cc
+++ b/tests/node/limit_ways_test.cc
@@ -1,6 +1,6 @@
-// Two ways to keep all hosts together within a server's limit, under the same
-// demand: a share of the requests that the owner tells in advance, as with
-// quotas of teams, and a permit for each request.
+// Compares two ways to keep all hosts together within a server's limit under
+// the same demand: shares that the owner sends in advance, as with the quotas
+// of teams, and a permit for each request.
 
 #include <deque>
 
@@ -10,81 +10,81 @@
 namespace applehall {
 namespace {
 
-// Of what the users' rule allows.
-double WorstOf(const std::vector<TimePoint>& sent, TimePoint from,
-               double limit) {
+// Returns the most requests in a window, relative to the allowed number.
+double MaxWindowLoad(const std::vector<TimePoint>& sent, TimePoint from,
+                     double limit) {
   const double allowed =
       limit * ToSeconds(kLimitWindow) * kLimitFactor + kLimitSlack;
   std::deque<TimePoint> window;
-  size_t most = 0;
+  size_t max_count = 0;
   for (const TimePoint at : sent) {
     if (at < from) continue;
     window.push_back(at);
     while (at - window.front() > kLimitWindow) window.pop_front();
-    most = std::max(most, window.size());
+    max_count = std::max(max_count, window.size());
   }
-  return static_cast<double>(most) / allowed;
+  return static_cast<double>(max_count) / allowed;
 }
 
-// Requests a second, each for five seconds: it rises to many times the limit
-// from one moment to the next, as when another replica of the model is lost.
+// Demand as a multiple of the limit, for five seconds each. It rises abruptly,
+// as when another replica of the model is lost.
 constexpr double kDemands[] = {0.5, 0.8, 30, 0.4, 60, 3, 0.7, 45, 1, 50};
 
 struct Result {
-  double worst = 0;  // Window, over what is allowed.
-  double used = 0;   // Of the limit, in the spells in which more was asked.
+  double worst = 0;  // Most requests in a window, relative to the allowed ones.
+  double used = 0;  // Used part of the limit while demand is at least twice it.
 };
 
-Result PlayShares(int hosts, double limit, uint64_t seed) {
+Result RunWithShares(int hosts, double limit, uint64_t seed) {
   QuotaFleet fleet(hosts, seed, QuotaSplit::kByDemand, {limit});
   fleet.AddTeam("server", limit, kDemands[0] * limit, 1, hosts);
   fleet.Run(seconds(8));
   const TimePoint from = fleet.now();
   double sent = 0;
-  double spells = 0;
+  double limited_seconds = 0;
   for (const double demand : kDemands) {
     fleet.SetDemand("server", demand * limit);
     fleet.TakeCount("server");
     fleet.Run(seconds(5));
     if (demand < 2) continue;
     sent += fleet.TakeCount("server").admitted;
-    spells += 5;
+    limited_seconds += 5;
   }
-  return {WorstOf(fleet.AdmittedAt("server"), from, limit),
-          sent / (limit * spells)};
+  return {MaxWindowLoad(fleet.AdmittedAt("server"), from, limit),
+          sent / (limit * limited_seconds)};
 }
 
-Result PlayPermits(int hosts, double limit, uint64_t seed) {
+Result RunWithPermits(int hosts, double limit, uint64_t seed) {
   LimitFleet fleet(hosts, seed);
   fleet.SetDemand(kDemands[0] * limit);
-  fleet.SetPatience(milliseconds(300));
+  fleet.SetMaxWait(milliseconds(300));
   fleet.Run(seconds(4));
   fleet.SetLimit(limit);
   fleet.Run(seconds(4));
   double sent = 0;
-  double spells = 0;
+  double limited_seconds = 0;
   for (const double demand : kDemands) {
     fleet.SetDemand(demand * limit);
     fleet.TakeCount();
     fleet.Run(seconds(5));
     if (demand < 2) continue;
     sent += fleet.TakeCount().sent;
-    spells += 5;
+    limited_seconds += 5;
   }
-  return {fleet.WorstWindow(), sent / (limit * spells)};
+  return {fleet.WorstWindow(), sent / (limit * limited_seconds)};
 }
 
-// Guards against a change of the way that seems simpler: shares let a jump of
-// demand through before the owner has heard of it.
-TEST(LimitWaysTest, PermitsHoldWhereSharesDoNot) {
+// Guards against a change to shares, which look simpler: they let a burst of
+// demand through before the owner receives a report of it.
+TEST(LimitWaysTest, PermitsKeepTheLimitThatSharesExceed) {
   for (const int hosts : {8, 87, 300}) {
     for (const double limit : {1.0, 5.0, 40.0}) {
       Result shares;
       Result permits;
       constexpr int kSeeds = 4;
       for (int seed = 1; seed <= kSeeds; ++seed) {
-        const Result share = PlayShares(hosts, limit, seed);
-        const Result permit = PlayPermits(hosts, limit, seed);
+        const Result share = RunWithShares(hosts, limit, seed);
+        const Result permit = RunWithPermits(hosts, limit, seed);
         shares.worst = std::max(shares.worst, share.worst);
         shares.used += share.used / kSeeds;
         permits.worst = std::max(permits.worst, permit.worst);
@@ -101,12 +101,13 @@
   }
 }
 
-// What asking costs. Bytes as encoded, without the framing of the links.
-TEST(LimitWaysTest, AsksCostAFewBytesForEachRequest) {
+// Guards against permit messages that grow. Counts encoded bytes, without the
+// framing of the links.
+TEST(LimitWaysTest, PermitMessagesTakeFewBytesForEachRequest) {
   for (const int hosts : {8, 87, 300}) {
     LimitFleet fleet(hosts, 1);
     fleet.SetDemand(20);
-    fleet.SetPatience(milliseconds(300));
+    fleet.SetMaxWait(milliseconds(300));
     fleet.Run(seconds(4));
     const int messages_before = fleet.messages();
     const size_t bytes_before = fleet.bytes();
@@ -126,7 +127,7 @@
         absl::StrCat(
             "bytes/s more: ", limited - idle, ", messages/s more: ",
             static_cast<double>(limited_messages - idle_messages) / 20));
-    // 20 requests a second, each with an ask and an answer of some 100 bytes.
+    // 20 permit requests and answers a second of some 100 bytes each.
     EXPECT_LE(limited - idle, 20 * 2 * 150);
   }
 }
--- a/tests/node/poison_fixture.h
+++ b/tests/node/poison_fixture.h
@@ -1,4 +1,5 @@
-// A fleet of hosts before backend servers that end under one request.
+// Fleet of hosts with backend servers that crash when they run a poison
+// message.
 
 #ifndef APPLEHALL_TESTS_NODE_POISON_FIXTURE_H_
 #define APPLEHALL_TESTS_NODE_POISON_FIXTURE_H_
@@ -7,8 +8,8 @@
 
 namespace applehall {
 
-// Ends each server that begins to run `poison_`; another one is listed at its
-// address some seconds later, as after a restart.
+// Ends each server that starts to run one of `poisons_`. After kRestart a new
+// server is listed in its place.
 class PoisonFixture : public FleetTest {
  protected:
   static constexpr uint64_t kPoison = 77;
@@ -26,9 +27,10 @@
     TimePoint at;
   };
 
-  // A request of a content; its id is new, as with each attempt of a caller.
-  RequestHandle Ask(const std::string& host, const std::string& path,
-                    const std::string& model, uint64_t fingerprint) {
+  // Sends a request with the content `fingerprint` and a new id, as a caller
+  // does when it repeats a request.
+  RequestHandle SendRequest(const std::string& host, const std::string& path,
+                            const std::string& model, uint64_t fingerprint) {
     RequestArrived request;
     request.handle = ++last_handle_;
     request.request_id = "r" + std::to_string(request.handle);
@@ -41,12 +43,12 @@
     return request.handle;
   }
 
-  // Runs the fleet and lets the servers do what they do.
+  // Runs hosts and servers.
   void RunServers(Duration duration) {
     for (const TimePoint end = now_ + duration; now_ < end;) {
       Run(milliseconds(25));
       for (auto& [name, host] : hosts_) ServeHost(name);
-      StartDue();
+      RestartServers();
     }
   }
 
@@ -75,7 +77,7 @@
       Handle(host, EndOf(sent, AttemptResult::kNotSent, "refused"));
       return;
     }
-    sends_.push_back({now_, host, fingerprint});
+    dispatches_.push_back({now_, host, fingerprint});
     if (!poisons_.contains(fingerprint)) {
       running_[sent.backend].push_back({host, sent, now_});
       return;
@@ -85,7 +87,7 @@
     Handle(host, cut);
   }
 
-  // All that runs there is cut; the listing shows it gone.
+  // Ends a server: all requests that it runs are cut.
   void EndServer(const std::string& server) {
     ended_.insert(server);
     ends_.push_back(now_);
@@ -96,13 +98,13 @@
       Handle(one.host, cut);
     }
     running_.erase(server);
-    due_.push_back({now_ + kRestart, server});
+    restarts_due_.push_back({now_ + kRestart, server});
   }
 
-  void StartDue() {
-    while (!due_.empty() && due_.front().first <= now_) {
-      const std::string old = due_.front().second;
-      due_.erase(due_.begin());
+  void RestartServers() {
+    while (!restarts_due_.empty() && restarts_due_.front().first <= now_) {
+      const std::string old = restarts_due_.front().second;
+      restarts_due_.erase(restarts_due_.begin());
       const bool is_engine = old.starts_with("llm");
       const std::string id =
           (is_engine ? "llm-r" : "app-r") + std::to_string(++restarts_);
@@ -115,7 +117,7 @@
     }
   }
 
-  // Ends what runs well, with its answer.
+  // Completes all running requests.
   void FinishAll() {
     const auto running = std::move(running_);
     running_.clear();
@@ -126,9 +128,9 @@
     }
   }
 
-  int SendsAfter(TimePoint at, uint64_t fingerprint = kPoison) const {
-    return static_cast<int>(
-        std::count_if(sends_.begin(), sends_.end(), [&](const Sent& sent) {
+  int CountDispatchesAfter(TimePoint at, uint64_t fingerprint = kPoison) const {
+    return static_cast<int>(std::count_if(
+        dispatches_.begin(), dispatches_.end(), [&](const Sent& sent) {
           return sent.fingerprint == fingerprint && sent.at > at;
         }));
   }
@@ -136,11 +138,11 @@
   std::set<uint64_t> poisons_{kPoison};
   RequestHandle last_handle_ = 1000;
   std::map<RequestHandle, uint64_t> contents_;
-  std::vector<Sent> sends_;
+  std::vector<Sent> dispatches_;
   std::vector<TimePoint> ends_;
   std::set<std::string> ended_;
   std::map<std::string, std::vector<Running>> running_;  // By server.
-  std::vector<std::pair<TimePoint, std::string>> due_;
+  std::vector<std::pair<TimePoint, std::string>> restarts_due_;
   std::map<RequestHandle, Refusal> refusals_;
   std::vector<RequestHandle> cancelled_;
   int restarts_ = 0;
--- a/tests/node/poison_request_test.cc
+++ b/tests/node/poison_request_test.cc
@@ -1,13 +1,14 @@
-// One request ends each backend server that begins to run it.
+// Requests that end each backend server that starts to run them.
 
 #include "tests/node/poison_fixture.h"
 
 namespace applehall {
 namespace {
 
-// The fleet has this long to agree, and this many sends may still follow.
-constexpr Duration kAgreed = seconds(3);
-constexpr int kMostRepeats = 3;
+// After the third end all hosts must apply the quarantine within this time; no
+// more than kMaxRepeats dispatches may follow.
+constexpr Duration kPropagation = seconds(3);
+constexpr int kMaxRepeats = 3;
 
 struct Kind {
   const char* name;
@@ -20,20 +21,20 @@
 class PoisonRequestTest : public PoisonFixture,
                           public testing::WithParamInterface<Kind> {};
 
-// Callers of a busy model lost their answers by the dozen, as engine after
-// engine ended: 20 under one request, 14 of them after the third. Its caller
-// repeated it, each time with a new id and at any host, so each host took it
-// for another request; sends were counted by service, and ends not at all.
-TEST_P(PoisonRequestTest, ReachesNoServerOnceThreeHaveEndedUnderIt) {
+// Guards against a poison message that ends engine after engine with all other
+// requests that run there (20 ends of one request were seen). Its caller
+// repeats it with a new id at any host, so no host recognises it by its id.
+TEST_P(PoisonRequestTest, IsDispatchedToNoServerAfterThreeEnds) {
   const std::vector<std::string> names = {"a", "b", "c", "d"};
   for (const std::string& name : names) Add(name);
   RunServers(seconds(3));
   for (int i = 0; i < 60; ++i) {
-    Ask(names[i % names.size()], GetParam().path, GetParam().model, kPoison);
+    SendRequest(names[i % names.size()], GetParam().path, GetParam().model,
+                kPoison);
     RunServers(milliseconds(700));
   }
   ASSERT_GE(ends_.size(), 3u);
-  EXPECT_LE(SendsAfter(ends_[2] + kAgreed), kMostRepeats)
+  EXPECT_LE(CountDispatchesAfter(ends_[2] + kPropagation), kMaxRepeats)
       << ends_.size() << " servers ended in all";
 }
 
--- a/tests/node/quarantine_chaos_test.cc
+++ b/tests/node/quarantine_chaos_test.cc
@@ -1,5 +1,5 @@
-// Requests that end servers, seen by hosts that are cut off from each other and
-// from the store in all ways.
+// Quarantine of poison messages while hosts are partitioned from each other and
+// from the store.
 
 #include "core/random.h"
 #include "tests/node/poison_fixture.h"
@@ -7,10 +7,11 @@
 namespace applehall {
 namespace {
 
-// After the last cut, until all hosts go by all that was seen in it.
-constexpr Duration kKnownEverywhere = seconds(5);
-// Ends that prove a content; one host or part of the fleet sees no more.
-constexpr size_t kMostEnds = 3;
+// Time from the end of a partition until all hosts have counted all ends.
+constexpr Duration kPropagation = seconds(5);
+// Number of ends that prove a content; no host and no part of the fleet may
+// observe more.
+constexpr size_t kMaxEnds = 3;
 
 class QuarantineChaosTest : public PoisonFixture,
                             public testing::WithParamInterface<uint64_t> {
@@ -41,13 +42,13 @@
     CutStore(false);
   }
 
-  std::string AnyHost(Random& random) {
+  std::string RandomHost(Random& random) {
     auto it = hosts_.begin();
     std::advance(it, random.Below(hosts_.size()));
     return it->first;
   }
 
-  void Disturb(const std::string& host, Random& random) {
+  void InjectFault(const std::string& host, Random& random) {
     switch (random.Below(8)) {
       case 0:
         Cut(host, true, true);
@@ -70,7 +71,7 @@
       case 5:
         CutStore(true);
         return;
-      case 6:  // A link that comes and goes.
+      case 6:  // A flapping link.
         for (int i = 0; i < 4; ++i) {
           Cut(host, true, true);
           RunServers(milliseconds(random.Below(400)));
@@ -83,18 +84,20 @@
     }
   }
 
-  // One caller that asks until its request has ended a server or is refused.
+  // Sends the poison message once. Returns true unless it was refused because
+  // of a quarantine.
   bool SendOnce(const std::string& host) {
     const size_t before = ends_.size();
-    const RequestHandle handle = Ask(host, "/rare/x", "m0", kPoison);
+    const RequestHandle handle = SendRequest(host, "/rare/x", "m0", kPoison);
     RunServers(kRestart + milliseconds(500));
     const auto refused = refusals_.find(handle);
-    const bool is_held = refused != refusals_.end() &&
-                         refused->second.reason == RefusalReason::kQuarantined;
-    return ends_.size() > before || !is_held;
+    const bool is_quarantined =
+        refused != refusals_.end() &&
+        refused->second.reason == RefusalReason::kQuarantined;
+    return ends_.size() > before || !is_quarantined;
   }
 
-  // All hosts get the request until each refuses it.
+  // Sends the poison message to all hosts until each refuses it.
   void ExhaustPoison() {
     for (int round = 0; round < 6; ++round) {
       bool is_sent = false;
@@ -103,22 +106,22 @@
       }
       if (!is_sent) return;
     }
-    ADD_FAILURE() << "some host never holds it back";
+    ADD_FAILURE() << "some host never refuses the poison message";
   }
 
   std::set<std::pair<std::string, std::string>> cut_;  // From, to.
 };
 
-// Guards against ends that were seen in a cut and are forgotten after it: as
-// many servers more would end.
-TEST_P(QuarantineChaosTest, EndsSeenInCutsOfAnyShapeCountAfterwards) {
+// Guards against ends that were observed during a partition and are lost after
+// it: the poison message would end as many further servers.
+TEST_P(QuarantineChaosTest, EndsObservedInAnyPartitionCountAfterwards) {
   Random random(GetParam());
   StartHosts();
-  // Few enough that the quarantine is often not proven by the end.
+  // Few enough that the quarantine is often not proven when the faults end.
   uint64_t sends_left = 1 + random.Below(4);
   for (int step = 0; step < 12; ++step) {
-    const std::string host = AnyHost(random);
-    Disturb(host, random);
+    const std::string host = RandomHost(random);
+    InjectFault(host, random);
     if (sends_left > 0 && random.Below(2) == 0) {
       --sends_left;
       SendOnce(host);
@@ -126,10 +129,10 @@
     RunServers(milliseconds(random.Below(6000)));
   }
   HealAll();
-  RunServers(kKnownEverywhere);
+  RunServers(kPropagation);
   const size_t ends = ends_.size();
   ExhaustPoison();
-  EXPECT_LE(ends_.size(), std::max(kMostEnds, ends)) << "seed " << GetParam();
+  EXPECT_LE(ends_.size(), std::max(kMaxEnds, ends)) << "seed " << GetParam();
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, QuarantineChaosTest,
@@ -137,38 +140,40 @@
 
 class LongCutTest : public QuarantineChaosTest {
  protected:
-  void CutOffThenAsk(Duration cut_for, int ends) {
+  void IsolateHostWithEnds(Duration cut_for, int ends) {
     StartHosts();
-    const std::string alone = Holders()[0] == "a" ? "b" : "a";
-    Cut(alone, true, true);
-    hosts_.at(alone).is_cut_from_store = true;
-    for (int i = 0; i < ends; ++i) SendOnce(alone);
+    const std::string isolated = Holders()[0] == "a" ? "b" : "a";
+    Cut(isolated, true, true);
+    hosts_.at(isolated).is_cut_from_store = true;
+    for (int i = 0; i < ends; ++i) SendOnce(isolated);
     RunServers(cut_for);
     HealAll();
-    RunServers(kKnownEverywhere);
+    RunServers(kPropagation);
   }
 };
 
-// Guards against ends that a host tells a fixed number of times.
-TEST_F(LongCutTest, TwoEndsSeenAloneAreKnownAfterMinutes) {
-  CutOffThenAsk(std::chrono::minutes(3), 2);
+// Guards against ends that are reported a fixed number of times and lost if the
+// partition lasts longer.
+TEST_F(LongCutTest, TwoEndsOfAnIsolatedHostCountAfterMinutes) {
+  IsolateHostWithEnds(std::chrono::minutes(3), 2);
   ExhaustPoison();
-  EXPECT_EQ(ends_.size(), kMostEnds);
+  EXPECT_EQ(ends_.size(), kMaxEnds);
 }
 
-// Guards against a quarantine that is known to one host alone, after the ends
-// that proved it are too old to be told.
-TEST_F(LongCutTest, QuarantineFoundAloneOutlivesItsEnds) {
-  CutOffThenAsk(std::chrono::minutes(12), 3);
+// Guards against a quarantine that only one host applies, because the ends that
+// proved it expired before they were reported.
+TEST_F(LongCutTest, QuarantineOfAnIsolatedHostOutlivesItsEnds) {
+  IsolateHostWithEnds(std::chrono::minutes(12), 3);
   ExhaustPoison();
-  EXPECT_EQ(ends_.size(), kMostEnds);
+  EXPECT_EQ(ends_.size(), kMaxEnds);
 }
 
-// Guards against a content that was cleared while a host was cut off for longer
-// than plans used to tell it: its callers were refused there for an hour.
-TEST_F(LongCutTest, ClearedContentIsServedWhereItWasMissed) {
+// Guards against a host that misses the clearing of a content, because it was
+// cut off for longer than plans announced it: it would refuse the content's
+// callers for an hour.
+TEST_F(LongCutTest, HostThatMissedTheClearingServesTheContent) {
   StartHosts();
-  Ask("b", "/stream/x", "m0", kPoison);
+  SendRequest("b", "/stream/x", "m0", kPoison);
   poisons_.clear();
   RunServers(milliseconds(50));
   ASSERT_EQ(running_.size(), 1u);
@@ -183,7 +188,7 @@
   Handle(copy.host, EndOf(copy.sent, AttemptResult::kCompleted, ""));
   RunServers(std::chrono::minutes(2));
   HealAll();
-  RunServers(kKnownEverywhere);
+  RunServers(kPropagation);
   EXPECT_TRUE(SendOnce("d"));
 }
 
--- a/tests/node/quarantine_test.cc
+++ b/tests/node/quarantine_test.cc
@@ -1,12 +1,13 @@
-// What the quarantine of a request costs others, and what it outlives.
+// Quarantine of poison messages: its effect on other requests, its propagation
+// and its persistence.
 
 #include "tests/node/poison_fixture.h"
 
 namespace applehall {
 namespace {
 
-constexpr Duration kAgreed = seconds(3);
-constexpr int kMostRepeats = 3;
+constexpr Duration kPropagation = seconds(3);
+constexpr int kMaxRepeats = 3;
 
 class QuarantineTest : public PoisonFixture {
  protected:
@@ -15,26 +16,27 @@
     RunServers(seconds(3));
   }
 
-  // The request comes at `host` until it was sent `times` times, or no more.
+  // Sends the poison message to `host` until it was dispatched `times` times,
+  // 20 times at most.
   void SendPoison(const std::string& host, size_t times) {
-    const size_t before = sends_.size();
-    for (int i = 0; i < 20 && sends_.size() - before < times; ++i) {
-      Ask(host, "/rare/x", "m0", kPoison);
+    const size_t before = dispatches_.size();
+    for (int i = 0; i < 20 && dispatches_.size() - before < times; ++i) {
+      SendRequest(host, "/rare/x", "m0", kPoison);
       RunServers(kRestart + milliseconds(500));
     }
   }
 
   bool IsRefused(const std::string& host) {
-    const RequestHandle handle = Ask(host, "/rare/x", "m0", kPoison);
+    const RequestHandle handle = SendRequest(host, "/rare/x", "m0", kPoison);
     RunServers(milliseconds(50));
     const auto it = refusals_.find(handle);
     return it != refusals_.end() &&
            it->second.reason == RefusalReason::kQuarantined;
   }
 
-  // A copy at host b whose answer has begun and goes on.
-  Running BeginCopy() {
-    Ask("b", "/stream/x", "m0", kPoison);
+  // Starts a copy of the request at host b, with its answer under way.
+  Running StartCopy() {
+    SendRequest("b", "/stream/x", "m0", kPoison);
     poisons_.clear();
     RunServers(milliseconds(50));
     poisons_ = {kPoison};
@@ -45,7 +47,7 @@
     return copy;
   }
 
-  size_t Held(const std::string& host) const {
+  size_t CountQuarantined(const std::string& host) const {
     return hosts_.at(host).node->StateDump()["quarantine"]["held"].size();
   }
 
@@ -53,7 +55,7 @@
     hosts_.erase(name);
     ++incarnation_;
     Add(name);
-    // What the listing shows by now.
+    // The present server list.
     ServersListed listed;
     listed.is_whole = true;
     listed.listed = {Server("app-1", "app"), Server("llm-x", "llm", "llm/m0"),
@@ -62,12 +64,12 @@
   }
 };
 
-// A caller is told at once, with the time to come back, and not after its
-// request has waited for engines that it would end.
-TEST_F(QuarantineTest, IsRefusedAtOnceAndTruly) {
+// Guards against a poison message that waits in a queue for engines before it
+// is refused, and against a refusal without the remaining time.
+TEST_F(QuarantineTest, RefusesAtOnceWithTheRemainingTime) {
   Start({"a", "b"});
   SendPoison("a", 3);
-  const RequestHandle handle = Ask("b", "/rare/x", "m0", kPoison);
+  const RequestHandle handle = SendRequest("b", "/rare/x", "m0", kPoison);
   RunServers(milliseconds(25));
   ASSERT_TRUE(refusals_.contains(handle));
   const Refusal& refusal = refusals_.at(handle);
@@ -76,66 +78,65 @@
   EXPECT_GT(refusal.retry_after, std::chrono::minutes(50));
 }
 
-// Requests that ran beside the one that ends engines are sent again, and may
-// meet it again at the next engine. Held to be the cause as well, callers of
-// the same model were refused for an hour.
-TEST_F(QuarantineTest, RequestsBesideItAreNotHeldToBeTheCause) {
+// Guards against a quarantine of innocent requests. Requests that ran beside
+// the poison message are retried and may be cut by it again at the next engine.
+TEST_F(QuarantineTest, RequestsBesideThePoisonAreNotQuarantined) {
   Start({"a", "b"});
   constexpr uint64_t kVictim = 1;
   for (uint64_t round = 0; round < 3; ++round) {
-    // One that is there each time, with its answer well under way, and others
-    // that are new each time.
-    for (int i = 0; i < 2; ++i) Ask("a", "/rare/x", "m0", kVictim);
-    Ask("b", "/rare/x", "m0", 100 + round);
-    Ask("b", "/rare/x", "m0", 200 + round);
+    // One content that is cut each time, with its answer well under way, and
+    // others that are new each time.
+    for (int i = 0; i < 2; ++i) SendRequest("a", "/rare/x", "m0", kVictim);
+    SendRequest("b", "/rare/x", "m0", 100 + round);
+    SendRequest("b", "/rare/x", "m0", 200 + round);
     RunServers(milliseconds(1500));
-    Ask("b", "/rare/x", "m0", kPoison);
+    SendRequest("b", "/rare/x", "m0", kPoison);
     RunServers(kRestart + milliseconds(500));
   }
   ASSERT_TRUE(IsRefused("a"));
-  EXPECT_EQ(SendsAfter({}, kVictim), 6);
-  EXPECT_EQ(Held("a"), 1u);
-  EXPECT_EQ(Held("b"), 1u);
+  EXPECT_EQ(CountDispatchesAfter({}, kVictim), 6);
+  EXPECT_EQ(CountQuarantined("a"), 1u);
+  EXPECT_EQ(CountQuarantined("b"), 1u);
 }
 
-// A content that many callers ask for is under way at all engines, so it is
-// there whenever one ends. Its whole answers show that it is not the cause.
-TEST_F(QuarantineTest, ContentThatIsAnsweredInBetweenIsCleared) {
+// Guards against a quarantine of popular contents, which run at all engines and
+// so at each one that ends. Their complete answers show that they are not the
+// cause.
+TEST_F(QuarantineTest, ContentWithCompleteAnswersInBetweenIsCleared) {
   Start({"a", "b"});
   constexpr uint64_t kPopular = 5;
   for (int i = 0; i < 8; ++i) {
-    Ask("a", "/once/x", "", kPopular);
-    Ask("b", "/once/x", "", kPopular);
+    SendRequest("a", "/once/x", "", kPopular);
+    SendRequest("b", "/once/x", "", kPopular);
     RunServers(milliseconds(50));
     ASSERT_FALSE(running_.empty());
     EndServer(running_.begin()->first);
     RunServers(kRestart + milliseconds(500));
     FinishAll();
-    // Longer than an answer speaks for what comes after it.
+    // Longer than a complete answer prevents that ends count.
     RunServers(std::chrono::minutes(1) + seconds(5));
-    Ask(i % 2 == 0 ? "a" : "b", "/once/x", "", kPopular);
+    SendRequest(i % 2 == 0 ? "a" : "b", "/once/x", "", kPopular);
     RunServers(milliseconds(50));
     FinishAll();
     RunServers(std::chrono::minutes(1) + seconds(5));
   }
   EXPECT_EQ(ends_.size(), 8u);
-  EXPECT_EQ(Held("a") + Held("b"), 0u);
+  EXPECT_EQ(CountQuarantined("a") + CountQuarantined("b"), 0u);
 }
 
-// All servers of a rack end in one moment, with a content under way at each
-// that was answered a moment before. Nothing speaks against it.
-TEST_F(QuarantineTest,
-       ManyServersThatEndAtOnceProveNothingAgainstWhatRunsWell) {
+// Guards against a quarantine after all servers of a rack end at the same time,
+// each running a content that was answered completely just before.
+TEST_F(QuarantineTest, SimultaneousEndsDoNotQuarantineAnAnsweredContent) {
   Start({"a", "b"});
   constexpr uint64_t kPopular = 5;
   for (const char* host : {"a", "b"}) {
-    Ask(host, "/again/x", "", kPopular);
+    SendRequest(host, "/again/x", "", kPopular);
     RunServers(milliseconds(50));
   }
   FinishAll();
   for (int round = 0; round < 4; ++round) {
     for (const char* host : {"a", "b"}) {
-      for (int i = 0; i < 4; ++i) Ask(host, "/again/x", "", kPopular);
+      for (int i = 0; i < 4; ++i) SendRequest(host, "/again/x", "", kPopular);
     }
     RunServers(milliseconds(50));
     std::vector<std::string> servers;
@@ -144,17 +145,17 @@
     RunServers(kRestart + milliseconds(500));
   }
   EXPECT_GE(ends_.size(), 4u);
-  EXPECT_EQ(Held("a") + Held("b"), 0u);
+  EXPECT_EQ(CountQuarantined("a") + CountQuarantined("b"), 0u);
 }
 
-// The owner finds the request and dies before it has told anybody: the store
-// has it. The next owner reads it there and tells the rest.
-TEST_F(QuarantineTest, OutlivesTheOwner) {
+// Guards against a quarantine that is lost if the owner ends before a plan
+// announces it: the next owner must read it from the store and announce it.
+TEST_F(QuarantineTest, NextOwnerAnnouncesTheRecordedQuarantine) {
   Start({"a", "b", "c"});
   const std::string owner = Holders()[0];
   is_losing_plans_ = true;
   SendPoison(owner, 3);
-  ASSERT_EQ(Held(owner), 1u);
+  ASSERT_EQ(CountQuarantined(owner), 1u);
   hosts_.at(owner).is_down = true;
   is_losing_plans_ = false;
   RunServers(seconds(6));
@@ -163,20 +164,21 @@
   }
 }
 
-// All hosts are killed in one moment. Without a record each would send the
-// request until three more servers had ended.
-TEST_F(QuarantineTest, OutlivesAllHosts) {
+// Guards against a quarantine that is lost when all hosts restart at the same
+// time: the request would end three more servers.
+TEST_F(QuarantineTest, PersistsOverARestartOfAllHosts) {
   Start({"a", "b", "c"});
   SendPoison("a", 3);
   const TimePoint third = ends_[2];
   for (const char* name : {"a", "b", "c"}) Restart(name);
   RunServers(milliseconds(200));
   for (const char* name : {"a", "b", "c"}) EXPECT_TRUE(IsRefused(name)) << name;
-  EXPECT_EQ(SendsAfter(third), 0);
+  EXPECT_EQ(CountDispatchesAfter(third), 0);
 }
 
-// A host joins, or is back from a restart, while the others have gone on.
-TEST_F(QuarantineTest, IsKnownToAHostThatIsNew) {
+// Guards against a new or restarted host that dispatches a request which the
+// other hosts have quarantined.
+TEST_F(QuarantineTest, AppliesAtAHostThatJoins) {
   Start({"a", "b"});
   SendPoison("a", 3);
   Add("new");
@@ -184,46 +186,48 @@
   EXPECT_TRUE(IsRefused("new"));
 }
 
-// The store is away all the while. The owner's plans need it not.
-TEST_F(QuarantineTest, IsToldWithoutTheStore) {
+// Guards against plans that need the store to announce a quarantine: the store
+// is unavailable throughout.
+TEST_F(QuarantineTest, PlansAnnounceItWhileTheStoreIsUnavailable) {
   Start({"a", "b", "c"});
   for (auto& [name, host] : hosts_) host.is_cut_from_store = true;
   SendPoison("b", 3);
   for (const char* name : {"a", "b", "c"}) EXPECT_TRUE(IsRefused(name)) << name;
 }
 
-// One host reaches no other, but the store. It hears no owner, so it looks at
-// the record itself.
-TEST_F(QuarantineTest, IsReadByAHostThatHearsNoOwner) {
+// Guards against a host that reaches the store but no other host, and so
+// receives no plans: it must read the record itself.
+TEST_F(QuarantineTest, HostWithoutOwnerReadsTheRecord) {
   Start({"a", "b", "c"});
   const std::string owner = Holders()[0];
-  const std::string alone = owner == "a" ? "b" : "a";
-  hosts_.at(alone).is_cut_from_hosts = true;
+  const std::string isolated = owner == "a" ? "b" : "a";
+  hosts_.at(isolated).is_cut_from_hosts = true;
   RunServers(seconds(4));
   SendPoison(owner, 3);
-  RunServers(kAgreed);
-  EXPECT_TRUE(IsRefused(alone));
+  RunServers(kPropagation);
+  EXPECT_TRUE(IsRefused(isolated));
 }
 
-// A host that reaches neither the others nor the store serves on, and ends no
-// more servers than it takes to see it.
-TEST_F(QuarantineTest, HostAloneGoesByWhatItSawItself) {
+// Guards against an isolated host, without other hosts and the store, that
+// never quarantines a poison message.
+TEST_F(QuarantineTest, IsolatedHostCountsItsOwnEnds) {
   Start({"a", "b"});
-  const std::string alone = Holders()[0] == "a" ? "b" : "a";
-  hosts_.at(alone).is_cut_from_hosts = true;
-  hosts_.at(alone).is_cut_from_store = true;
-  SendPoison(alone, 10);
+  const std::string isolated = Holders()[0] == "a" ? "b" : "a";
+  hosts_.at(isolated).is_cut_from_hosts = true;
+  hosts_.at(isolated).is_cut_from_store = true;
+  SendPoison(isolated, 10);
   EXPECT_EQ(ends_.size(), 3u);
-  EXPECT_TRUE(IsRefused(alone));
-  // When it is back, its three ends become known to all.
-  hosts_.at(alone).is_cut_from_hosts = false;
-  hosts_.at(alone).is_cut_from_store = false;
+  EXPECT_TRUE(IsRefused(isolated));
+  // After the partition its three ends reach all hosts.
+  hosts_.at(isolated).is_cut_from_hosts = false;
+  hosts_.at(isolated).is_cut_from_store = false;
   RunServers(seconds(5));
-  EXPECT_TRUE(IsRefused(alone == "a" ? "b" : "a"));
+  EXPECT_TRUE(IsRefused(isolated == "a" ? "b" : "a"));
 }
 
-// Each host sees a single end, none of them enough by itself.
-TEST_F(QuarantineTest, EndsSeenByDifferentHostsAreAddedUp) {
+// Guards against ends that are counted by host: each host observes a single
+// one.
+TEST_F(QuarantineTest, EndsObservedByDifferentHostsAreAddedUp) {
   Start({"a", "b", "c", "d"});
   for (const char* host : {"a", "b", "c"}) SendPoison(host, 1);
   RunServers(seconds(1));
@@ -231,8 +235,8 @@
   EXPECT_EQ(ends_.size(), 3u);
 }
 
-// The owner is replaced between the ends: what the one before was told is told
-// to the next.
+// Guards against ends that are lost if the owner is replaced between them:
+// hosts must report them to the next owner.
 TEST_F(QuarantineTest, EndsBeforeATakeoverCount) {
   Start({"a", "b", "c", "d"});
   const std::string owner = Holders()[0];
@@ -250,13 +254,13 @@
   EXPECT_EQ(ends_.size(), 3u);
 }
 
-// Copies that came before the third end wait at other hosts and at servers that
-// have not begun them.
-TEST_F(QuarantineTest, WhatWaitsIsTakenBack) {
+// Guards against copies that were dispatched before the third end and still
+// wait at other servers: they must be cancelled.
+TEST_F(QuarantineTest, WaitingCopiesAreCancelled) {
   Start({"a", "b"});
   SendPoison("a", 2);
-  poisons_.clear();  // The next ones are sent and do not begin.
-  const RequestHandle sent = Ask("b", "/rare/x", "m0", kPoison);
+  poisons_.clear();  // The next request is dispatched and does not start.
+  const RequestHandle sent = SendRequest("b", "/rare/x", "m0", kPoison);
   RunServers(milliseconds(50));
   const auto running = running_;
   running_.clear();
@@ -268,58 +272,58 @@
   EXPECT_EQ(std::count(cancelled_.begin(), cancelled_.end(), sent), 1);
 }
 
-// A copy had begun to be answered when the quarantine began, and is cut now.
-// Its stream may be resumed, but not this one.
+// Guards against the resumption of a quarantined stream: its answer had started
+// before the quarantine and is cut afterwards.
 TEST_F(QuarantineTest, StreamThatIsCutLaterIsNotResumed) {
   Start({"a", "b"});
-  const auto [host, sent, at] = BeginCopy();
+  const auto [host, sent, at] = StartCopy();
   SendPoison("a", 3);
   ASSERT_TRUE(IsRefused("b"));
-  const size_t sends = sends_.size();
+  const size_t sends = dispatches_.size();
   AttemptEnded cut = BrokenOff(sent, "partial", /*is_cut=*/true);
   cut.has_delivered = true;
   cut.can_resume = true;
   Handle(host, cut);
   RunServers(seconds(5));
-  EXPECT_EQ(sends_.size(), sends);
+  EXPECT_EQ(dispatches_.size(), sends);
   ASSERT_TRUE(refusals_.contains(sent.handle));
   EXPECT_EQ(refusals_.at(sent.handle).reason, RefusalReason::kQuarantined);
   EXPECT_EQ(refusals_.at(sent.handle).verdict, Verdict::kMayHaveRun);
 }
 
-// A request was under way at three servers that ended for another reason. One
-// of its copies gets its whole answer later, which proves that.
-TEST_F(QuarantineTest, IsLiftedByAWholeAnswer) {
+// Guards against a lasting quarantine of a request that ran at three servers
+// which ended for another reason: a complete answer of a copy disproves it.
+TEST_F(QuarantineTest, CompleteAnswerLiftsIt) {
   Start({"a", "b", "c", "d", "e"});
-  const auto [host, sent, at] = BeginCopy();
+  const auto [host, sent, at] = StartCopy();
   SendPoison("a", 3);
   ASSERT_TRUE(IsRefused("a"));
   Handle(host, EndOf(sent, AttemptResult::kCompleted, ""));
   RunServers(seconds(2));
-  EXPECT_EQ(Held("a") + Held("b"), 0u);
+  EXPECT_EQ(CountQuarantined("a") + CountQuarantined("b"), 0u);
   EXPECT_TRUE(quarantined_.empty()) << "the record is withdrawn";
-  // The host that saw it and the owner record it and withdraw it, and none of
-  // those that are told.
+  // Only the host that observed it and the owner append and withdraw the
+  // record.
   EXPECT_LE(quarantine_appends_, 4);
 }
 
-// The servers may have been mended meanwhile.
-TEST_F(QuarantineTest, EndsAfterAnHourAndItsRecordGoes) {
+// Guards against a quarantine that stays after the servers may have been fixed.
+TEST_F(QuarantineTest, ExpiresWithItsRecordAfterAnHour) {
   Start({"a", "b"});
   SendPoison("a", 3);
   RunServers(seconds(1));
   ASSERT_EQ(quarantined_.size(), 1u);
   now_ += std::chrono::minutes(61);
   RunServers(seconds(8));
-  EXPECT_EQ(Held("a") + Held("b"), 0u);
+  EXPECT_EQ(CountQuarantined("a") + CountQuarantined("b"), 0u);
   EXPECT_TRUE(quarantined_.empty());
   poisons_.clear();
   EXPECT_FALSE(IsRefused("b"));
 }
 
-// A host that hears no owner asks the store until it hears one; an owner asks
-// until it has one answer.
-TEST(QuarantineKeeperTest, ReadsWhileItCannotKnow) {
+// A host that reaches no owner reads the record periodically; a new owner reads
+// it until it has one answer.
+TEST(QuarantineManagerTest, ReadsTheRecordWithoutOwnerAndAsNewOwner) {
   NodeSettings settings;
   settings.placement = PlacementStyle::kFleet;
   NodeContext context(settings);
@@ -327,34 +331,34 @@
   context.actions = &actions;
   context.now = TimePoint{std::chrono::hours(500000)};
   LogWriter writer(context);
-  QuarantineKeeper keeper(context, writer);
+  QuarantineKeeper manager(context, writer);
   const auto reads = [&](bool is_owner, bool hears_owner) {
     actions.clear();
     for (int i = 0; i < 400; ++i) {
       context.now += milliseconds(25);
-      keeper.RunTick(is_owner, hears_owner);
+      manager.RunTick(is_owner, hears_owner);
     }
     return actions.size();
   };
   EXPECT_EQ(reads(false, false), 5u) << "10 s, each 2 s";
   EXPECT_EQ(reads(false, true), 0u);
   EXPECT_EQ(reads(true, false), 5u);
-  keeper.TakeRead({false, {}});
+  manager.TakeRead({false, {}});
   EXPECT_EQ(reads(true, false), 5u);
-  keeper.TakeRead({true, {}});
+  manager.TakeRead({true, {}});
   EXPECT_EQ(reads(true, false), 0u);
   reads(false, true);
-  EXPECT_EQ(reads(true, false), 5u) << "as an owner anew";
+  EXPECT_EQ(reads(true, false), 5u) << "after it became the owner again";
 }
 
-// While nothing ends, none of it costs a call or a byte, but for the one read
+// Guards against calls to the store while no server ends, other than the reads
 // at a host's start.
-TEST_F(QuarantineTest, CostsNothingWhileNothingEnds) {
+TEST_F(QuarantineTest, WithoutEndsTheStoreIsReadOnlyAtStart) {
   Start({"a", "b", "c"});
   const int reads = quarantine_reads_;
   RunServers(seconds(60));
   EXPECT_EQ(quarantine_reads_, reads);
-  EXPECT_LE(reads, 7) << "one at each start, and while no owner was heard";
+  EXPECT_LE(reads, 7) << "one at each start, and while no owner was reachable";
   EXPECT_EQ(quarantine_appends_, 0);
 }
 
--- a/tests/node/quota_centre_test.cc
+++ b/tests/node/quota_centre_test.cc
@@ -1,4 +1,4 @@
-// Quotas where no owner is heard.
+// Quotas in a data centre that reaches no owner.
 
 #include "tests/node/fleet_fixture.h"
 
@@ -7,13 +7,13 @@
 
 constexpr double kLimit = 20000;  // Tokens a second.
 constexpr double kCost = 1000;
-constexpr int kHostsACentre = 6;
+constexpr int kHostsPerCentre = 6;
 
 class QuotaCentreTest : public FleetTest {
  protected:
   void SetUp() override {
-    for (int i = 0; i < 2 * kHostsACentre; ++i) {
-      const bool is_first = i < kHostsACentre;
+    for (int i = 0; i < 2 * kHostsPerCentre; ++i) {
+      const bool is_first = i < kHostsPerCentre;
       Add((is_first ? "a" : "b") + std::to_string(i),
           is_first ? "hall-a" : "hall-b");
     }
@@ -30,7 +30,7 @@
     Run(seconds(4));
   }
 
-  void Ask(const std::string& host) {
+  void SendRequest(const std::string& host) {
     RequestArrived request;
     request.handle = ++last_handle_;
     request.request_id = "r" + std::to_string(last_handle_);
@@ -39,11 +39,12 @@
     Handle(host, request);
   }
 
-  // One request each 100 ms, to `share` of them at `host` and the rest at all.
-  void AskFor(Duration duration, int a_step,
-              const std::vector<std::string>& at) {
+  // Sends `per_step` requests each 100 ms, each to one of `at` at random.
+  void SendRequestsFor(Duration duration, int per_step,
+                       const std::vector<std::string>& at) {
     for (const TimePoint end = now_ + duration; now_ < end;) {
-      for (int i = 0; i < a_step; ++i) Ask(at[random_.Below(at.size())]);
+      for (int i = 0; i < per_step; ++i)
+        SendRequest(at[random_.Below(at.size())]);
       Run(milliseconds(100));
     }
   }
@@ -56,7 +57,7 @@
     return names;
   }
 
-  int Refused() const {
+  int CountRefused() const {
     int count = 0;
     for (const auto& [name, host] : hosts_) {
       for (const RefuseRequest& one : Done<RefuseRequest>(name)) {
@@ -66,8 +67,8 @@
     return count;
   }
 
-  // Cuts the data centre that the owner is not in off from store and owner.
-  std::string CutTheOther() {
+  // Cuts the data centre without the owner off from the store and the owner.
+  std::string CutCentreWithoutOwner() {
     const std::string owner = Holders().at(0);
     cut_ = owner[0] == 'a' ? "b" : "a";
     for (auto& [name, host] : hosts_) {
@@ -85,37 +86,37 @@
   RequestHandle last_handle_ = 0;
 };
 
-// A data centre is cut off from the others for some seconds. Its teams ask for
-// half of what they bought, but more at one host than at the next; each host
-// went by its own small part and refused what was the team's.
-TEST_F(QuotaCentreTest, CutDataCentreSharesItsPartAmongItsHosts) {
+// Guards against refusals within the quota in a data centre that is cut off:
+// with a fixed small part for each host, a team that sends most requests to two
+// hosts is refused there.
+TEST_F(QuotaCentreTest, IsolatedDataCentreSharesItsPartAmongItsHosts) {
   std::vector<std::string> all = HostsOf("a");
   for (const std::string& name : HostsOf("b")) all.push_back(name);
-  AskFor(seconds(8), 1, all);
-  EXPECT_EQ(Refused(), 0);
-  const std::string cut = CutTheOther();
+  SendRequestsFor(seconds(8), 1, all);
+  EXPECT_EQ(CountRefused(), 0);
+  const std::string cut = CutCentreWithoutOwner();
   Run(milliseconds(2000));
-  // All its callers are at two of its hosts now.
+  // All callers use two of its hosts now.
   const std::vector<std::string> hosts = HostsOf(cut);
-  AskFor(seconds(5), 1, {hosts[1], hosts[2]});
+  SendRequestsFor(seconds(5), 1, {hosts[1], hosts[2]});
   // 50 requests of 1,000 tokens in 5 s, of a part of some 10,000 a second.
-  EXPECT_LE(Refused(), 5);
+  EXPECT_LE(CountRefused(), 5);
 }
 
-// The same team asks for many times its usual in the cut data centre. It gets
-// that data centre's part and no more.
-TEST_F(QuotaCentreTest, CutDataCentreGivesNoMoreThanItsPart) {
+// Guards against a team that exceeds the data centre's part of its quota while
+// the data centre is cut off.
+TEST_F(QuotaCentreTest, IsolatedDataCentreGrantsNoMoreThanItsPart) {
   std::vector<std::string> all = HostsOf("a");
   for (const std::string& name : HostsOf("b")) all.push_back(name);
-  AskFor(seconds(8), 1, all);
-  const std::string cut = CutTheOther();
+  SendRequestsFor(seconds(8), 1, all);
+  const std::string cut = CutCentreWithoutOwner();
   Run(milliseconds(2000));
   const std::vector<std::string> hosts = HostsOf(cut);
-  AskFor(seconds(8), 6, hosts);
-  const int asked = 8 * 10 * 6;
+  SendRequestsFor(seconds(8), 6, hosts);
+  const int requested = 8 * 10 * 6;
   const int part = static_cast<int>(0.6 * kLimit / kCost) * 8;
   const int burst = static_cast<int>(kLimit / kCost);
-  EXPECT_GE(Refused(), asked - part - burst - kHostsACentre);
+  EXPECT_GE(CountRefused(), requested - part - burst - kHostsPerCentre);
 }
 
 }  // namespace
--- a/tests/node/server_end_reports_test.cc
+++ b/tests/node/server_end_reports_test.cc
@@ -1,4 +1,5 @@
-// Rows that a host owes the placement owner, lost, doubled and late.
+// Server end rows for the placement owner, when reports and acknowledgements
+// are lost, duplicated or late.
 
 #include "node/server_end_reports.h"
 
@@ -13,7 +14,7 @@
 using std::chrono::minutes;
 
 constexpr TimePoint kStart{std::chrono::hours(500000)};
-constexpr size_t kMostRows = 256;
+constexpr size_t kMaxRows = 256;
 
 class ServerEndReportsTest : public testing::Test {
  protected:
@@ -25,7 +26,7 @@
   }
 
   size_t Deliver(const Json& report) {
-    const auto rows = inbox_.Take("h", report, now_);
+    const auto rows = inbox_.HandleReport("h", report, now_);
     return rows ? rows->size() : 0;
   }
 
@@ -38,69 +39,73 @@
 TEST_F(ServerEndReportsTest, RowIsSentUntilItIsAcknowledged) {
   Add(1);
   for (int i = 0; i < 20; ++i) {
-    EXPECT_FALSE(reports_.Take(7, now_).is_null()) << i;
-    EXPECT_TRUE(reports_.Take(7, now_).is_null()) << "not with each report";
+    EXPECT_FALSE(reports_.BuildReport(7, now_).is_null()) << i;
+    EXPECT_TRUE(reports_.BuildReport(7, now_).is_null())
+        << "not with each report";
     now_ += milliseconds(500);
   }
-  EXPECT_EQ(Deliver(reports_.Take(7, now_)), 1u);
-  reports_.TakeAck(7, inbox_.TakeAck("h"));
+  EXPECT_EQ(Deliver(reports_.BuildReport(7, now_)), 1u);
+  reports_.HandleAck(7, inbox_.TakeOwedAck("h"));
   now_ += milliseconds(500);
-  EXPECT_TRUE(reports_.Take(7, now_).is_null());
+  EXPECT_TRUE(reports_.BuildReport(7, now_).is_null());
   EXPECT_EQ(reports_.owed(), 0u);
 }
 
-// Guards against an end that counts once for each report that brings it.
-TEST_F(ServerEndReportsTest, RowThatComesAgainIsNotNew) {
+// Guards against an end that is counted once for each report that contains it.
+TEST_F(ServerEndReportsTest, RepeatedRowIsIgnored) {
   Add(1);
-  const Json report = reports_.Take(7, now_);
+  const Json report = reports_.BuildReport(7, now_);
   EXPECT_EQ(Deliver(report), 1u);
   EXPECT_EQ(Deliver(report), 0u);
-  EXPECT_FALSE(inbox_.TakeAck("h").is_null()) << "its answer may be lost";
+  EXPECT_FALSE(inbox_.TakeOwedAck("h").is_null())
+      << "the first one may be lost";
 }
 
-// Guards against an owner that starts without what the one before was told.
-TEST_F(ServerEndReportsTest, NextOwnerIsToldAll) {
+// Guards against a new owner that lacks the rows its predecessor acknowledged.
+TEST_F(ServerEndReportsTest, NextOwnerGetsAllRows) {
   Add(1);
-  Deliver(reports_.Take(7, now_));
-  reports_.TakeAck(7, inbox_.TakeAck("h"));
+  Deliver(reports_.BuildReport(7, now_));
+  reports_.HandleAck(7, inbox_.TakeOwedAck("h"));
   Add(2);
-  EXPECT_EQ(reports_.Take(8, now_)["rows"].size(), 2u);
-  reports_.TakeAck(7, Json{{"life", 3}, {"number", 2}});
-  EXPECT_EQ(reports_.owed(), 2u) << "an answer of the owner before";
-  reports_.TakeAck(8, Json{{"life", 2}, {"number", 2}});
-  EXPECT_EQ(reports_.owed(), 2u) << "an answer to an earlier life";
+  EXPECT_EQ(reports_.BuildReport(8, now_)["rows"].size(), 2u);
+  reports_.HandleAck(7, Json{{"life", 3}, {"number", 2}});
+  EXPECT_EQ(reports_.owed(), 2u) << "an acknowledgement of the former owner";
+  reports_.HandleAck(8, Json{{"life", 2}, {"number", 2}});
+  EXPECT_EQ(reports_.owed(), 2u)
+      << "an acknowledgement to an earlier incarnation";
 }
 
-// Guards against reports that grow with what a cut has piled up.
-TEST_F(ServerEndReportsTest, ManyRowsGoInSmallReports) {
-  for (size_t i = 0; i < kMostRows; ++i) EXPECT_EQ(Add(i), 0u);
-  EXPECT_EQ(Add(999), 1u) << "what no owner has and is dropped is told";
+// Guards against large reports after a long partition.
+TEST_F(ServerEndReportsTest, ManyRowsAreSplitIntoSmallReports) {
+  for (size_t i = 0; i < kMaxRows; ++i) EXPECT_EQ(Add(i), 0u);
+  EXPECT_EQ(Add(999), 1u) << "a dropped row that no owner has is counted";
   size_t rows = 0;
   while (reports_.owed() > 0) {
-    const Json report = reports_.Take(7, now_);
+    const Json report = reports_.BuildReport(7, now_);
     EXPECT_LT(report.dump().size(), 1024u);
     rows += Deliver(report);
-    reports_.TakeAck(7, inbox_.TakeAck("h"));
+    reports_.HandleAck(7, inbox_.TakeOwedAck("h"));
   }
-  EXPECT_EQ(rows, kMostRows);
+  EXPECT_EQ(rows, kMaxRows);
 }
 
-TEST_F(ServerEndReportsTest, OldRowsAreDroppedAndCounted) {
+TEST_F(ServerEndReportsTest, ExpiredRowsAreDroppedAndCounted) {
   Add(1);
-  Deliver(reports_.Take(7, now_));
-  reports_.TakeAck(7, inbox_.TakeAck("h"));
+  Deliver(reports_.BuildReport(7, now_));
+  reports_.HandleAck(7, inbox_.TakeOwedAck("h"));
   Add(2);
   now_ += minutes(11);
-  EXPECT_EQ(reports_.DropExpired(now_), 1u) << "the owner has the other one";
+  EXPECT_EQ(reports_.DropExpired(now_), 1u)
+      << "the owner acknowledged the other one";
 }
 
-TEST_F(ServerEndReportsTest, MalformedReportsAreRefused) {
+TEST_F(ServerEndReportsTest, MalformedReportsAreRejected) {
   for (const char* text :
        {"null", "[]", "{}", R"({"life":1})", R"({"life":1,"rows":7})",
         R"({"life":1,"rows":[[1,9,1,"s",0]]})",
         R"({"life":1,"rows":[[1,0,1,"s"]]})",
         R"({"life":1,"rows":[[-1,0,1,"s",0]]})"}) {
-    EXPECT_FALSE(inbox_.Take("h", *ParseJson(text), now_)) << text;
+    EXPECT_FALSE(inbox_.HandleReport("h", *ParseJson(text), now_)) << text;
   }
 }
 
--- a/tests/node/server_ends_test.cc
+++ b/tests/node/server_ends_test.cc
@@ -9,7 +9,7 @@
 
 constexpr TimePoint kNow{std::chrono::hours(500000)};
 
-TEST(ServerEndsTest, OneProbeTellsOfAllThatWereCut) {
+TEST(ServerEndsTest, OneProbeCoversAllCutRequests) {
   ServerEnds ends;
   EXPECT_TRUE(ends.NoteCut("s", {1}, kNow));
   EXPECT_FALSE(ends.NoteCut("s", {2}, kNow));
@@ -19,8 +19,9 @@
   EXPECT_TRUE(ends.NoteCut("s", {1}, kNow)) << "a later cut is another end";
 }
 
-// A server gives up single requests, as with a fault of its own, and goes on.
-TEST(ServerEndsTest, ServerThatListensHasNotEnded) {
+// Guards against ends counted for a server that only aborts single requests,
+// for example after an internal error.
+TEST(ServerEndsTest, ListeningServerHasNotEnded) {
   ServerEnds ends;
   ends.NoteCut("s", {1}, kNow);
   EXPECT_TRUE(ends.TakeProbe({"s", ServerState::kListening}).empty());
@@ -28,8 +29,8 @@
   EXPECT_TRUE(ends.TakeProbe({"t", ServerState::kUnknown}).empty());
 }
 
-// The thread that probes is flooded and drops the order to probe. Without a
-// second one the end of that server would never be seen again.
+// Guards against a probe that is lost because the probing thread is overloaded:
+// without a second one no later end of that server would be detected.
 TEST(ServerEndsTest, LostProbeIsRepeatedAtTheNextCut) {
   ServerEnds ends;
   EXPECT_TRUE(ends.NoteCut("s", {1}, kNow));
