--- a/node/limit_keeper.cc
+++ b/node/limit_manager.cc
@@ -1,4 +1,4 @@
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 
 #include <absl/strings/str_cat.h>
 #include <absl/strings/str_format.h>
@@ -75,9 +75,9 @@
 
 // ---- Limits ----
 
-void LimitKeeper::TakeReported(const std::string& server,
-                               const ReportedLimit& reported,
-                               TimePoint sent_at) {
+void LimitManager::ApplyReported(const std::string& server,
+                                 const ReportedLimit& reported,
+                                 TimePoint sent_at) {
   if (reported.kind == ReportedLimit::Kind::kMalformed) {
     context_.metrics.Count("server_limits_unreadable_total");
     LogEvent(LogLevel::kWarning, "server_limit_unreadable")
@@ -86,7 +86,7 @@
     return;
   }
   const std::optional<double> before = registry_.Find(server);
-  if (!registry_.TakeReported(server, reported, sent_at, context_.now)) return;
+  if (!registry_.ApplyReported(server, reported, sent_at, context_.now)) return;
   LogEvent(LogLevel::kInfo, "server_limit_changed")
       .With("server", server)
       .With("per_second", reported.per_second)
@@ -97,7 +97,7 @@
 }
 
 // Applies changed limits to the ledger and to the permits of this host.
-void LimitKeeper::ApplyChanges() {
+void LimitManager::ApplyChanges() {
   for (const std::string& server : registry_.TakeChanged()) {
     const std::optional<double> limit = registry_.Find(server);
     context_.metrics.Count("server_limit_changes_total");
@@ -116,12 +116,12 @@
   }
 }
 
-void LimitKeeper::Forget(const std::string& server) {
+void LimitManager::Forget(const std::string& server) {
   registry_.Remove(server, context_.now);
   ApplyChanges();
 }
 
-std::string LimitKeeper::Describe(const std::string& server) const {
+std::string LimitManager::Describe(const std::string& server) const {
   return absl::StrFormat("%s accepts %.3g requests a second, named %d ms ago",
                          server, registry_.Find(server).value_or(0),
                          ToMillis(registry_.Age(server, context_.now)));
@@ -129,8 +129,8 @@
 
 // ---- Permits ----
 
-LimitKeeper::Permit LimitKeeper::Acquire(const std::string& server,
-                                         const PermitRequest& wanted) {
+LimitManager::Permit LimitManager::Acquire(const std::string& server,
+                                           const PermitRequest& wanted) {
   if (gate_.TakeSpare(server, context_.now)) return Permit::kGranted;
   if (!ledger_ && !is_owner_reachable_) {
     const int hosts = known_hosts_ > 0 ? known_hosts_ : kAssumedHosts;
@@ -149,9 +149,9 @@
   request.caller = wanted.caller;
   request.worth = wanted.worth;
   request.is_background = wanted.is_background;
-  request.patience = wanted.patience;
+  request.patience = wanted.max_wait;
   requests_[request.id] = {wanted.handle, server, context_.now,
-                           context_.now + wanted.patience + kPermitTtl};
+                           context_.now + wanted.max_wait + kPermitTtl};
   context_.metrics.Count("server_limit_asks_total");
   if (ledger_) {
     ledger_->Ask(request, context_.now);
@@ -163,11 +163,11 @@
   return Permit::kPending;
 }
 
-void LimitKeeper::ReturnPermit(const std::string& server) {
+void LimitManager::ReturnPermit(const std::string& server) {
   gate_.AddSpare(server, context_.now + kPermitTtl);
 }
 
-void LimitKeeper::SendRequests() {
+void LimitManager::SendRequests() {
   if (unsent_.empty() || owner_.host.empty()) return;
   requests_sent_at_ = context_.now;
   Json body{{kToken, token_},
@@ -178,7 +178,8 @@
                          {PeerMessageType::kPermitAsk, std::move(body)}});
 }
 
-void LimitKeeper::TakeAsks(const std::string& host, const Json& body) {
+void LimitManager::HandlePermitRequests(const std::string& host,
+                                        const Json& body) {
   if (!ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   requester_addresses_[host] = FieldOr<std::string>(body, kAddress, "");
   for (const Json& row : body.value(kRequests, Json::array())) {
@@ -190,7 +191,7 @@
   SendAnswers();
 }
 
-void LimitKeeper::SendAnswers() {
+void LimitManager::SendAnswers() {
   std::map<std::string, Json> rows;
   for (const PermitAnswer& answer : ledger_->TakeAnswers()) {
     context_.metrics.Count(answer.is_granted ? "server_limit_grants_total"
@@ -212,7 +213,7 @@
   }
 }
 
-void LimitKeeper::TakeAnswers(const Json& body) {
+void LimitManager::HandlePermitAnswers(const Json& body) {
   if (ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   for (const Json& row : body.value(kAnswers, Json::array())) {
     if (const std::optional<PermitAnswer> answer = ParseAnswer(row)) {
@@ -221,7 +222,7 @@
   }
 }
 
-void LimitKeeper::HandleAnswer(const PermitAnswer& answer) {
+void LimitManager::HandleAnswer(const PermitAnswer& answer) {
   const auto it = requests_.find(answer.id);
   if (it == requests_.end()) return;
   const OpenRequest request = std::move(it->second);
@@ -241,7 +242,7 @@
 
 // Denies requests that the owner did not answer in time: it may have ended or
 // be suspended.
-void LimitKeeper::ExpireRequests() {
+void LimitManager::ExpireRequests() {
   for (auto it = requests_.begin(); it != requests_.end();) {
     const auto next = std::next(it);
     if (it->second.expires_at <= context_.now) {
@@ -256,17 +257,17 @@
 
 // ---- Messages between hosts ----
 
-void LimitKeeper::StartPlanning(uint64_t& last_update) {
+void LimitManager::StartPlanning(uint64_t& last_update) {
   ledger_ = std::make_unique<PermitLedger>(known_hosts_);
   requester_addresses_.clear();
-  registry_.RestartRows(last_update);
+  registry_.RenumberRows(last_update);
   for (const auto& [server, per_second] : registry_.Limits()) {
     ledger_->SetLimit(server, per_second, context_.now);
   }
 }
 
-void LimitKeeper::RunTick(const PeerAddress& owner, FencingToken token,
-                          bool is_reachable) {
+void LimitManager::RunTick(const PeerAddress& owner, FencingToken token,
+                           bool is_reachable) {
   if (token != token_) {
     // The new owner's ledger has no requests of the former owner.
     unsent_ = Json::array();
@@ -289,29 +290,29 @@
   ExpireRequests();
 }
 
-Json LimitKeeper::ReportRows(FencingToken token, const EngineList& servers) {
+Json LimitManager::ReportRows(FencingToken token, const EngineList& servers) {
   return registry_.ReportRows(token, servers, context_.now);
 }
 
-void LimitKeeper::NoteHost(const std::string& host) {
+void LimitManager::RecordHostContact(const std::string& host) {
   if (ledger_) ledger_->NoteHost(host, context_.now);
 }
 
-void LimitKeeper::TakeReport(const std::string& host, const Json& rows,
-                             const EngineList& servers) {
+void LimitManager::TakeReport(const std::string& host, const Json& rows,
+                              const EngineList& servers) {
   if (!ledger_) return;
   LogEvent(LogLevel::kDebug, "server_limits_reported").With("by", host);
   registry_.TakeReport(rows, servers, context_.now);
   ApplyChanges();
 }
 
-void LimitKeeper::TakePlan(const Json& rows, FencingToken token,
-                           const EngineList& servers) {
+void LimitManager::TakePlan(const Json& rows, FencingToken token,
+                            const EngineList& servers) {
   registry_.TakePlan(rows, token, servers, context_.now);
   ApplyChanges();
 }
 
-Json LimitKeeper::ToJson() const {
+Json LimitManager::ToJson() const {
   Json json{{"limits", registry_.ToJson(context_.now)},
             {"asks", requests_.size()},
             {"owner_heard", is_owner_reachable_},
--- a/node/limit_keeper.h
+++ b/node/limit_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_LIMIT_KEEPER_H_
-#define APPLEHALL_NODE_LIMIT_KEEPER_H_
+#ifndef APPLEHALL_NODE_LIMIT_MANAGER_H_
+#define APPLEHALL_NODE_LIMIT_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -10,7 +10,7 @@
 
 #include "admission/permit_gate.h"
 #include "admission/permit_ledger.h"
-#include "node/limit_book.h"
+#include "node/limit_registry.h"
 #include "node/node_context.h"
 
 namespace applehall {
@@ -22,15 +22,15 @@
 // A host that reaches no owner applies its own part of the limit. Limits are
 // part of the reports and plans of placement. Permits have messages of their
 // own, because they cannot wait for the next plan.
-class LimitKeeper {
+class LimitManager {
  public:
-  explicit LimitKeeper(NodeContext& context) : context_(context) {}
+  explicit LimitManager(NodeContext& context) : context_(context) {}
 
   // ---- Requests of this host. Not thread-safe. ----
   // Applies the limit in an answer of `server` to an attempt that was sent at
   // `sent_at`.
-  void TakeReported(const std::string& server, const ReportedLimit& reported,
-                    TimePoint sent_at);
+  void ApplyReported(const std::string& server, const ReportedLimit& reported,
+                     TimePoint sent_at);
   bool IsLimited(const std::string& server) const {
     return registry_.Find(server).has_value();
   }
@@ -44,7 +44,7 @@
     std::string caller;
     double worth = 1;
     bool is_background = false;
-    Duration patience{0};  // Maximum wait for the permit.
+    Duration max_wait{0};  // Maximum wait for the permit.
   };
   // Acquires a permit to send one request to `server`. Requires:
   // IsLimited(server).
@@ -75,7 +75,7 @@
   void TakeReport(const std::string& host, const Json& rows,
                   const EngineList& servers);
   // Records a report of another host, at the owner.
-  void NoteHost(const std::string& host);
+  void RecordHostContact(const std::string& host);
   void NumberRows(uint64_t& last_update) { registry_.NumberRows(last_update); }
   Json PlanRows(uint64_t since, const EngineList& servers) const {
     return registry_.PlanRows(since, servers, context_.now);
@@ -83,8 +83,8 @@
   void TakePlan(const Json& rows, FencingToken token,
                 const EngineList& servers);
   // Permit requests of a host arrive at the owner, and its answers at the host.
-  void TakeAsks(const std::string& host, const Json& body);
-  void TakeAnswers(const Json& body);
+  void HandlePermitRequests(const std::string& host, const Json& body);
+  void HandlePermitAnswers(const Json& body);
 
   // Returns the limits in requests a second, by server. Not thread-safe.
   std::map<std::string, double> Limits() const { return registry_.Limits(); }
@@ -105,7 +105,7 @@
   void ExpireRequests();
 
   NodeContext& context_;
-  LimitBook registry_;
+  LimitRegistry registry_;
   PermitGate gate_;
   std::unique_ptr<PermitLedger> ledger_;  // While this host is the owner.
   PeerAddress owner_;
@@ -124,4 +124,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_LIMIT_KEEPER_H_
+#endif  // APPLEHALL_NODE_LIMIT_MANAGER_H_
--- a/node/limit_book.h
+++ b/node/limit_registry.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_LIMIT_BOOK_H_
-#define APPLEHALL_NODE_LIMIT_BOOK_H_
+#ifndef APPLEHALL_NODE_LIMIT_REGISTRY_H_
+#define APPLEHALL_NODE_LIMIT_REGISTRY_H_
 
 #include <map>
 #include <optional>
@@ -22,13 +22,13 @@
 // owner. Therefore the owner assigns each limit a version. A host reports the
 // limit of an answer together with the last version that it received, and the
 // owner applies only reports about its newest version.
-class LimitBook {
+class LimitRegistry {
  public:
   // ---- Answers of servers. Not thread-safe, as all below. ----
   // Applies the limit in an answer of `server` to a request that was sent at
   // `sent_at`. Returns true if the limit changes here.
-  bool TakeReported(const std::string& server, const ReportedLimit& reported,
-                    TimePoint sent_at, TimePoint now);
+  bool ApplyReported(const std::string& server, const ReportedLimit& reported,
+                     TimePoint sent_at, TimePoint now);
   // Removes a server that left or restarted under its id: a limit applies only
   // to the incarnation that named it.
   void Remove(const std::string& server, TimePoint now);
@@ -59,7 +59,7 @@
   void NumberRows(uint64_t& last_update);
   // Assigns new update numbers to all limits, for the first plans of a new
   // owner.
-  void RestartRows(uint64_t& last_update);
+  void RenumberRows(uint64_t& last_update);
   // Returns the rows of a plan with the updates after `since`.
   Json PlanRows(uint64_t since, const EngineList& servers, TimePoint now) const;
   // Applies the rows of a plan of the owner under `token`.
@@ -107,4 +107,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_LIMIT_BOOK_H_
+#endif  // APPLEHALL_NODE_LIMIT_REGISTRY_H_
--- a/node/quarantine_keeper.cc
+++ b/node/quarantine_manager.cc
@@ -1,4 +1,4 @@
-#include "node/quarantine_keeper.h"
+#include "node/quarantine_manager.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -38,8 +38,8 @@
 
 // ---- Requests of this host ----
 
-void QuarantineKeeper::NoteEnd(const std::string& server,
-                               const std::vector<CutRequest>& cuts) {
+void QuarantineManager::RecordEnd(const std::string& server,
+                                  const std::vector<CutRequest>& cuts) {
   context_.metrics.Count("servers_ended_total");
   std::vector<ServerEnd> ends;
   for (const CutRequest& cut : cuts) {
@@ -65,12 +65,12 @@
   writer_.Append(absl::StrCat("end/", server), ServerEndRecord(ends));
 }
 
-bool QuarantineKeeper::HasCompletedLately(uint64_t fingerprint) const {
+bool QuarantineManager::HasCompletedLately(uint64_t fingerprint) const {
   const auto it = completed_.find(fingerprint);
   return it != completed_.end() && context_.now - it->second <= kCompletedTtl;
 }
 
-void QuarantineKeeper::NoteCompleted(uint64_t fingerprint) {
+void QuarantineManager::RecordCompleted(uint64_t fingerprint) {
   if (fingerprint == 0) return;
   const auto [it, is_new] = completed_.insert({fingerprint, context_.now});
   it->second = context_.now;
@@ -90,7 +90,7 @@
                  ContentClearedRecord(fingerprint));
 }
 
-QuarantineKeeper::ContentState QuarantineKeeper::StateOf(
+QuarantineManager::ContentState QuarantineManager::StateOf(
     uint64_t fingerprint) const {
   if (Holds(fingerprint)) return ContentState::kQuarantined;
   const bool is_suspect = suspects_.contains(fingerprint) ||
@@ -99,7 +99,7 @@
   return is_suspect ? ContentState::kSuspect : ContentState::kClear;
 }
 
-bool QuarantineKeeper::Clear(uint64_t fingerprint) {
+bool QuarantineManager::Clear(uint64_t fingerprint) {
   const ContentState before = StateOf(fingerprint);
   ledger_.Clear(fingerprint);
   suspects_.erase(fingerprint);
@@ -115,11 +115,12 @@
   return true;
 }
 
-void QuarantineKeeper::Lift(uint64_t fingerprint) {
+void QuarantineManager::Lift(uint64_t fingerprint) {
   if (Clear(fingerprint) && IsFleet()) unreleased_.insert(fingerprint);
 }
 
-void QuarantineKeeper::ApplyEnd(const ServerEnd& end, const std::string& host) {
+void QuarantineManager::ApplyEnd(const ServerEnd& end,
+                                 const std::string& host) {
   if (end.fingerprint == 0 || Holds(end.fingerprint)) return;
   switch (ledger_.Record(end, context_.now)) {
     case CrashLedger::Finding::kNothing:
@@ -141,8 +142,8 @@
             .at = until});
 }
 
-void QuarantineKeeper::Add(uint64_t fingerprint, TimePoint until,
-                           const std::string& source) {
+void QuarantineManager::Add(uint64_t fingerprint, TimePoint until,
+                            const std::string& source) {
   // Clock skew between hosts must not extend the quarantine.
   const TimePoint latest = context_.now + kQuarantineLife;
   const bool was_held = Holds(fingerprint);
@@ -162,14 +163,14 @@
 
 // ---- Reports and plans between hosts ----
 
-void QuarantineKeeper::QueueRow(ServerEndRow row) {
+void QuarantineManager::QueueRow(ServerEndRow row) {
   if (!IsFleet()) return;
   LogDropped(reports_.Add(std::move(row)), "table full");
 }
 
 // Counts and logs rows that the owner will never receive. The owner itself has
 // counted its own rows already.
-void QuarantineKeeper::LogDropped(size_t rows, const char* reason) {
+void QuarantineManager::LogDropped(size_t rows, const char* reason) {
   if (rows == 0 || is_owner_) return;
   context_.metrics.Count("server_end_rows_dropped_total", rows);
   LogEvent(LogLevel::kWarning, "server_end_rows_dropped")
@@ -178,11 +179,12 @@
       .With("owed", reports_.owed());
 }
 
-Json QuarantineKeeper::TakeReportRows(FencingToken token) {
+Json QuarantineManager::BuildReportRows(FencingToken token) {
   return reports_.BuildReport(token, context_.now);
 }
 
-void QuarantineKeeper::TakeReport(const std::string& host, const Json& report) {
+void QuarantineManager::TakeReport(const std::string& host,
+                                   const Json& report) {
   const auto rows = inbox_.HandleReport(host, report, context_.now);
   if (!rows) {
     context_.metrics.Count("malformed_reports_total");
@@ -193,8 +195,8 @@
   for (const ServerEndRow& row : *rows) ApplyRow(host, row);
 }
 
-void QuarantineKeeper::ApplyRow(const std::string& host,
-                                const ServerEndRow& row) {
+void QuarantineManager::ApplyRow(const std::string& host,
+                                 const ServerEndRow& row) {
   switch (row.kind) {
     case ServerEndRow::Kind::kEnd:
     case ServerEndRow::Kind::kLateEnd: {
@@ -213,7 +215,7 @@
   }
 }
 
-void QuarantineKeeper::NumberRows(uint64_t& last_update) {
+void QuarantineManager::NumberRows(uint64_t& last_update) {
   for (const uint64_t fingerprint : std::exchange(changed_, {})) {
     Announcement& announced = announced_[fingerprint];
     announced.update = ++last_update;
@@ -228,7 +230,7 @@
   });
 }
 
-void QuarantineKeeper::RestartRows(uint64_t& last_update) {
+void QuarantineManager::RenumberRows(uint64_t& last_update) {
   announced_.clear();
   for (const auto& [fingerprint, until] : quarantine_.entries()) {
     changed_.insert(fingerprint);
@@ -236,7 +238,7 @@
   NumberRows(last_update);
 }
 
-Json QuarantineKeeper::PlanRows(uint64_t since) const {
+Json QuarantineManager::PlanRows(uint64_t since) const {
   Json rows = Json::array();
   for (const auto& [fingerprint, announced] : announced_) {
     if (announced.update <= since) continue;
@@ -246,7 +248,7 @@
   return rows;
 }
 
-void QuarantineKeeper::TakePlan(const Json& rows) {
+void QuarantineManager::TakePlan(const Json& rows) {
   if (!rows.is_array()) return;
   for (const Json& row : rows) {
     if (!row.is_array() || row.size() != 3 || !row[0].is_number_unsigned() ||
@@ -271,7 +273,7 @@
 
 // ---- Control stream ----
 
-void QuarantineKeeper::TakeControl() {
+void QuarantineManager::TakeControl() {
   const Quarantine& agreed = context_.control.quarantine();
   for (const auto& [fingerprint, until] : agreed.entries()) {
     if (until <= context_.now || from_log_.contains(fingerprint)) continue;
@@ -288,7 +290,7 @@
 
 // ---- Record in the store ----
 
-void QuarantineKeeper::TakeRead(const QuarantineRead& event) {
+void QuarantineManager::TakeRead(const QuarantineRead& event) {
   if (!event.is_answered) return;
   has_read_ = true;
   for (const QuarantineRecord& record : event.records) {
@@ -300,14 +302,14 @@
   }
 }
 
-void QuarantineKeeper::TakeAppendEnd(const QuarantineAppendEnded& event) {
+void QuarantineManager::TakeAppendEnd(const QuarantineAppendEnded& event) {
   if (!event.is_appended) return;
   const uint64_t fingerprint = event.record.fingerprint;
   const bool is_release = event.record.until == TimePoint{};
   (is_release ? unreleased_ : unrecorded_).erase(fingerprint);
 }
 
-void QuarantineKeeper::ExpireQuarantines(bool is_owner) {
+void QuarantineManager::ExpireQuarantines(bool is_owner) {
   for (const uint64_t fingerprint : quarantine_.TakeEnded(context_.now)) {
     changed_.insert(fingerprint);
     unrecorded_.erase(fingerprint);
@@ -320,19 +322,20 @@
 // The store is read only while no owner is reachable, as at start, and by a new
 // owner, which must announce the quarantines to all hosts. At all other times
 // the owner's plans carry them without a call to the store.
-void QuarantineKeeper::ReadRecordIfDue(bool is_owner, bool hears_owner) {
+void QuarantineManager::ReadRecordIfDue(bool is_owner,
+                                        bool is_owner_reachable) {
   if (is_owner && !is_owner_) {
     has_read_ = false;
     read_at_ = {};
   }
   is_owner_ = is_owner;
-  const bool needs_read = is_owner ? !has_read_ : !hears_owner;
+  const bool needs_read = is_owner ? !has_read_ : !is_owner_reachable;
   if (!needs_read || context_.now - read_at_ < kReadInterval) return;
   read_at_ = context_.now;
   context_.Emit(ReadQuarantine{});
 }
 
-void QuarantineKeeper::AppendIfDue() {
+void QuarantineManager::AppendIfDue() {
   if (unrecorded_.empty() && unreleased_.empty()) return;
   if (context_.now - recorded_at_ < kAppendInterval) return;
   recorded_at_ = context_.now;
@@ -348,7 +351,7 @@
   }
 }
 
-void QuarantineKeeper::RunTick(bool is_owner, bool hears_owner) {
+void QuarantineManager::RunTick(bool is_owner, bool is_owner_reachable) {
   ExpireQuarantines(is_owner);
   LogDropped(reports_.DropExpired(context_.now), "too old");
   std::erase_if(suspects_, [this](const auto& item) {
@@ -356,11 +359,11 @@
   });
   if (!is_owner) changed_.clear();
   if (!IsFleet()) return;
-  ReadRecordIfDue(is_owner, hears_owner);
+  ReadRecordIfDue(is_owner, is_owner_reachable);
   AppendIfDue();
 }
 
-Json QuarantineKeeper::ToJson() const {
+Json QuarantineManager::ToJson() const {
   Json json{{"held", Json::object()},
             {"suspects", ledger_.size()},
             {"told_suspects", suspects_.size()},
--- a/node/quarantine_keeper.h
+++ b/node/quarantine_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_QUARANTINE_KEEPER_H_
-#define APPLEHALL_NODE_QUARANTINE_KEEPER_H_
+#ifndef APPLEHALL_NODE_QUARANTINE_MANAGER_H_
+#define APPLEHALL_NODE_QUARANTINE_MANAGER_H_
 
 #include <deque>
 #include <map>
@@ -32,16 +32,17 @@
 //
 // With placement by groups there is no single owner. There the ends are records
 // of the control stream, from which all hosts derive the same quarantines.
-class QuarantineKeeper {
+class QuarantineManager {
  public:
-  QuarantineKeeper(NodeContext& context, LogWriter& writer)
+  QuarantineManager(NodeContext& context, LogWriter& writer)
       : context_(context), writer_(writer), reports_(context.settings.self) {}
 
   // ---- Requests of this host. Not thread-safe. ----
   // Records that `server` ended with the requests of `cuts` under way.
-  void NoteEnd(const std::string& server, const std::vector<CutRequest>& cuts);
+  void RecordEnd(const std::string& server,
+                 const std::vector<CutRequest>& cuts);
   // Records that a server answered the content completely.
-  void NoteCompleted(uint64_t fingerprint);
+  void RecordCompleted(uint64_t fingerprint);
   // True if the content must not be sent to any server.
   bool Holds(uint64_t fingerprint) const {
     return quarantine_.Holds(fingerprint, context_.now);
@@ -56,7 +57,7 @@
   // True if the next report contains a row that was not sent yet.
   bool HasNewRows() const { return reports_.HasNew(); }
   // Returns the rows to send to the owner under `token` now; null if none.
-  Json TakeReportRows(FencingToken token);
+  Json BuildReportRows(FencingToken token);
   void TakeReport(const std::string& host, const Json& report);
   // Returns the acknowledgement to send to `host` with its next plan; null if
   // none is due.
@@ -70,7 +71,7 @@
   void NumberRows(uint64_t& last_update);
   // Assigns new update numbers to all quarantines, for the first plans of a new
   // owner.
-  void RestartRows(uint64_t& last_update);
+  void RenumberRows(uint64_t& last_update);
   // Returns the rows of a plan with the updates after `since`.
   Json PlanRows(uint64_t since) const;
   void TakePlan(const Json& rows);
@@ -85,7 +86,7 @@
 
   // Expires quarantines, and reads, appends and releases records that are due.
   // Not thread-safe.
-  void RunTick(bool is_owner, bool hears_owner);
+  void RunTick(bool is_owner, bool is_owner_reachable);
   Json ToJson() const;
 
  private:
@@ -109,7 +110,7 @@
   void Lift(uint64_t fingerprint);
   void Add(uint64_t fingerprint, TimePoint until, const std::string& source);
   void ExpireQuarantines(bool is_owner);
-  void ReadRecordIfDue(bool is_owner, bool hears_owner);
+  void ReadRecordIfDue(bool is_owner, bool is_owner_reachable);
   void AppendIfDue();
 
   NodeContext& context_;
@@ -150,4 +151,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_QUARANTINE_KEEPER_H_
+#endif  // APPLEHALL_NODE_QUARANTINE_MANAGER_H_
--- a/node/quota_keeper.cc
+++ b/node/quota_manager.cc
@@ -1,4 +1,4 @@
-#include "node/quota_keeper.h"
+#include "node/quota_manager.h"
 
 #include <absl/strings/str_format.h>
 
@@ -77,19 +77,19 @@
 
 }  // namespace
 
-bool QuotaKeeper::HasQuotas() const {
+bool QuotaManager::HasQuotas() const {
   const auto& teams = context_.teams->teams();
   return std::any_of(teams.begin(), teams.end(), [](const auto& item) {
     return item.second.quota.is_limited();
   });
 }
 
-bool QuotaKeeper::IsThrottling() const {
+bool QuotaManager::IsThrottling() const {
   return std::any_of(shares_.begin(), shares_.end(),
                      [](const auto& item) { return item.second.share < 1; });
 }
 
-std::optional<Refusal> QuotaKeeper::Ask(const Team& team, double cost) {
+std::optional<Refusal> QuotaManager::Charge(const Team& team, double cost) {
   const QuotaDecision decision =
       gate_.Ask(team, cost, context_.random.Unit(), context_.now);
   if (decision.is_admitted) return std::nullopt;
@@ -105,7 +105,7 @@
                  decision.retry_after};
 }
 
-void QuotaKeeper::StartPlanning() {
+void QuotaManager::StartPlanning() {
   ledger_ = std::make_unique<QuotaLedger>(
       QuotaLedger::Settings{.tolerance = context_.settings.quota_tolerance,
                             .expected_hosts = known_hosts_});
@@ -113,7 +113,7 @@
   centre_ledger_.reset();
 }
 
-Json QuotaKeeper::ReportRows() const {
+Json QuotaManager::ReportRows() const {
   if (!HasQuotas()) return {};
   Json teams = Json::object();
   for (const auto& [team, usage] : gate_.Usage(context_.now)) {
@@ -125,15 +125,16 @@
               {kTeams, std::move(teams)}};
 }
 
-void QuotaKeeper::TakeReport(const std::string& host,
-                             const std::string& data_centre, const Json& rows) {
+void QuotaManager::TakeReport(const std::string& host,
+                              const std::string& data_centre,
+                              const Json& rows) {
   if (!ledger_) return;
   ledger_->TakeUsage(
       host, data_centre, FieldOr<uint64_t>(rows, kIncarnation, 0),
       ParseUsage(rows.value(kTeams, Json::object())), context_.now);
 }
 
-void QuotaKeeper::RunTick(const PeerAddress& reader) {
+void QuotaManager::RunTick(const PeerAddress& reader) {
   if (!HasQuotas()) return;
   if (ledger_) {
     RunOwner();
@@ -144,8 +145,8 @@
   }
 }
 
-QuotaShares QuotaKeeper::ComputeShares(QuotaLedger& ledger,
-                                       std::shared_ptr<const TeamBook> teams) {
+QuotaShares QuotaManager::ComputeShares(QuotaLedger& ledger,
+                                        std::shared_ptr<const TeamBook> teams) {
   ledger.SetTeams(std::move(teams), context_.now);
   ledger.TakeUsage(context_.settings.self.host, context_.settings.data_centre,
                    context_.settings.self.number, gate_.Usage(context_.now),
@@ -153,7 +154,7 @@
   return ledger.Shares(context_.now);
 }
 
-void QuotaKeeper::RunOwner() {
+void QuotaManager::RunOwner() {
   if (context_.now - computed_at_ < kComputeInterval) return;
   computed_at_ = context_.now;
   QuotaShares shares = ComputeShares(*ledger_, context_.teams);
@@ -168,7 +169,7 @@
 
 // A host that never received a plan knows no parts of quotas, so no ledger of
 // the data centre can replace the owner.
-void QuotaKeeper::RunWithoutOwner(const PeerAddress& reader) {
+void QuotaManager::RunWithoutOwner(const PeerAddress& reader) {
   if (reader.host.empty() || known_hosts_ == 0) return;
   if (reader.host == context_.settings.self.host) {
     RunCentreLedger();
@@ -183,7 +184,7 @@
                          {PeerMessageType::kQuotaUsage, std::move(body)}});
 }
 
-void QuotaKeeper::RunCentreLedger() {
+void QuotaManager::RunCentreLedger() {
   if (context_.now - computed_at_ < kComputeInterval) return;
   computed_at_ = context_.now;
   if (!centre_ledger_) {
@@ -201,7 +202,7 @@
 }
 
 // Returns the teams with their quotas reduced to this data centre's part.
-std::shared_ptr<const TeamBook> QuotaKeeper::CentreTeams() const {
+std::shared_ptr<const TeamBook> QuotaManager::CentreTeams() const {
   auto teams = std::make_shared<TeamBook>();
   for (const auto& [name, whole] : context_.teams->teams()) {
     Team team = whole;
@@ -215,7 +216,8 @@
   return teams;
 }
 
-void QuotaKeeper::TakeCentreUsage(const std::string& host, const Json& body) {
+void QuotaManager::HandleCentreUsage(const std::string& host,
+                                     const Json& body) {
   if (!HasQuotas()) return;
   if (centre_ledger_) {
     centre_ledger_->TakeUsage(host, context_.settings.data_centre,
@@ -237,12 +239,12 @@
              SharesToJson(has_owner_shares ? shares_ : centre_shares_)}}}});
 }
 
-void QuotaKeeper::TakeCentreWord(const Json& body) {
+void QuotaManager::HandleCentreShares(const Json& body) {
   gate_.TakeCentreShares(ParseShares(body.value(kTeams, Json::object())),
                          context_.now);
 }
 
-Json QuotaKeeper::PlanRows(const std::string& data_centre) const {
+Json QuotaManager::PlanRows(const std::string& data_centre) const {
   if (!ledger_ || !ledger_->IsReady(context_.now) || !HasQuotas()) return {};
   Json body{{kTeams, SharesToJson(shares_)}, {kHosts, known_hosts_}};
   const auto parts = ledger_->parts().find(data_centre);
@@ -251,7 +253,7 @@
 }
 
 // Logs when the throttling of a team starts and ends.
-void QuotaKeeper::LogThrottled(const QuotaShares& shares) const {
+void QuotaManager::LogThrottled(const QuotaShares& shares) const {
   for (const auto& [team, share] : shares) {
     const auto before = shares_.find(team);
     const bool was_throttled =
@@ -267,14 +269,14 @@
   }
 }
 
-void QuotaKeeper::TakePlan(const Json& rows) {
+void QuotaManager::TakePlan(const Json& rows) {
   shares_ = ParseShares(rows.value(kTeams, Json::object()));
   known_hosts_ = std::max(1, FieldOr<int>(rows, kHosts, 1));
   gate_.TakeShares(shares_, known_hosts_, context_.now);
   centre_parts_ = ParseParts(rows.value(kParts, Json::object()));
 }
 
-Json QuotaKeeper::ToJson() const {
+Json QuotaManager::ToJson() const {
   Json json{{"is_ledger_here", ledger_ != nullptr}, {"teams", Json::object()}};
   for (const auto& [team, usage] : gate_.Usage(context_.now)) {
     const auto found = shares_.find(team);
--- a/node/quota_keeper.h
+++ b/node/quota_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_QUOTA_KEEPER_H_
-#define APPLEHALL_NODE_QUOTA_KEEPER_H_
+#ifndef APPLEHALL_NODE_QUOTA_MANAGER_H_
+#define APPLEHALL_NODE_QUOTA_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -20,16 +20,16 @@
 // of the data centre's part of each quota for all its hosts. If each host had
 // only its own small part, a team with more requests than usual at one host
 // would be refused there, although it is within its quota.
-class QuotaKeeper {
+class QuotaManager {
  public:
-  explicit QuotaKeeper(NodeContext& context)
+  explicit QuotaManager(NodeContext& context)
       : context_(context),
         gate_(context.settings.quota_tolerance,
               QuotaSplitFor(context.settings.policies)) {}
 
   // Charges `cost` to the quota of `team`. Returns a refusal if the quota is
   // used up. Not thread-safe.
-  std::optional<Refusal> Ask(const Team& team, double cost);
+  std::optional<Refusal> Charge(const Team& team, double cost);
   // Refunds an admitted request that did not run and never will. Not
   // thread-safe.
   void GiveBack(const std::string& team, double cost) {
@@ -55,10 +55,10 @@
   void TakePlan(const Json& rows);
   // Handles the usage of a host of this data centre that reaches no owner. Not
   // thread-safe.
-  void TakeCentreUsage(const std::string& host, const Json& body);
+  void HandleCentreUsage(const std::string& host, const Json& body);
   // Handles the shares that the store reader of this data centre computed. Not
   // thread-safe.
-  void TakeCentreWord(const Json& body);
+  void HandleCentreShares(const Json& body);
   // True if a team is throttled, so that its share must follow its demand. Not
   // thread-safe.
   bool IsThrottling() const;
@@ -97,4 +97,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_QUOTA_KEEPER_H_
+#endif  // APPLEHALL_NODE_QUOTA_MANAGER_H_
--- a/tests/node/limit_fleet.h
+++ b/tests/node/limit_fleet.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 
 namespace applehall {
 
@@ -50,7 +50,7 @@
   }
 
   void SetDemand(double per_second) { demand_ = per_second; }
-  void SetMaxWait(Duration patience) { max_wait_ = patience; }
+  void SetMaxWait(Duration max_wait) { max_wait_ = max_wait; }
   // Sets the limit that the server names in its answers; below zero: none.
   void SetLimit(double per_second) {
     limit_ = per_second;
@@ -134,7 +134,7 @@
 
   struct Host {
     std::unique_ptr<NodeContext> context;
-    std::unique_ptr<LimitKeeper> manager;
+    std::unique_ptr<LimitManager> manager;
     std::vector<Action> actions;
     uint64_t incarnation = 0;
     bool is_cut = false;
@@ -182,7 +182,7 @@
     host.context = std::make_unique<NodeContext>(settings);
     host.context->actions = &host.actions;
     host.context->now = now_;
-    host.manager = std::make_unique<LimitKeeper>(*host.context);
+    host.manager = std::make_unique<LimitManager>(*host.context);
     host.open.clear();
     host.plan_received_at = {};
     host.owner.reset();
@@ -256,13 +256,13 @@
     const std::string from = absl::StrCat("h", message.from);
     switch (message.message.type) {
       case PeerMessageType::kPermitAsk:
-        host.manager->TakeAsks(from, body);
+        host.manager->HandlePermitRequests(from, body);
         break;
       case PeerMessageType::kPermitAnswer:
-        host.manager->TakeAnswers(body);
+        host.manager->HandlePermitAnswers(body);
         break;
       case PeerMessageType::kFleetReport:
-        host.manager->NoteHost(from);
+        host.manager->RecordHostContact(from);
         host.manager->TakeReport(from, body["limits"], servers_);
         break;
       case PeerMessageType::kFleetPlan: {
@@ -284,7 +284,7 @@
   // Handles the outcomes of pending permits and sends emitted messages.
   void AfterEvent(size_t i) {
     Host& host = hosts_[i];
-    for (const LimitKeeper::Outcome& outcome : host.manager->TakeOutcomes()) {
+    for (const LimitManager::Outcome& outcome : host.manager->TakeOutcomes()) {
       const bool is_open = host.open.erase(outcome.handle) > 0;
       if (outcome.is_granted && is_open) {
         DeliverRequest(i);
@@ -360,18 +360,18 @@
     }
     if (host.backoff_until > now_) return;
     const RequestHandle handle = ++host.last_handle;
-    LimitKeeper::PermitRequest wanted;
+    LimitManager::PermitRequest wanted;
     wanted.handle = handle;
     wanted.caller = "c";
-    wanted.patience = max_wait_;
+    wanted.max_wait = max_wait_;
     switch (host.manager->Acquire(kServer, wanted)) {
-      case LimitKeeper::Permit::kGranted:
+      case LimitManager::Permit::kGranted:
         DeliverRequest(i);
         break;
-      case LimitKeeper::Permit::kPending:
+      case LimitManager::Permit::kPending:
         host.open[handle] = now_ + max_wait_ + seconds(1);
         break;
-      case LimitKeeper::Permit::kDenied:
+      case LimitManager::Permit::kDenied:
         host.backoff_until = now_ + milliseconds(100);
         break;
     }
@@ -403,8 +403,8 @@
         continue;
       }
       host.context->now = now_;
-      host.manager->TakeReported(kServer, answer.reported_limit,
-                                 answer.sent_at);
+      host.manager->ApplyReported(kServer, answer.reported_limit,
+                                  answer.sent_at);
       const bool is_named =
           answer.reported_limit.kind == ReportedLimit::Kind::kNamed;
       if (is_named && !host.limit_received_at) host.limit_received_at = now_;
--- a/tests/node/limit_keeper_test.cc
+++ b/tests/node/limit_manager_test.cc
@@ -1,6 +1,6 @@
 // All hosts together keep within the limits that servers name, and use them.
 
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 
 #include <iostream>
 
--- a/tests/node/limit_book_test.cc
+++ b/tests/node/limit_registry_test.cc
@@ -1,4 +1,4 @@
-#include "node/limit_book.h"
+#include "node/limit_registry.h"
 
 #include <gtest/gtest.h>
 
@@ -31,7 +31,7 @@
   }
   // Delivers the report of `host` to the owner and the owner's plan to both
   // hosts.
-  void Exchange(LimitBook& host, LimitBook& other) {
+  void Exchange(LimitRegistry& host, LimitRegistry& other) {
     now_ += milliseconds(20);
     owner_.TakeReport(host.ReportRows(kToken, servers_, now_), servers_, now_);
     owner_.NumberRows(last_update_);
@@ -43,14 +43,14 @@
 
   TimePoint now_{std::chrono::hours(500000)};
   EngineList servers_;
-  LimitBook owner_;
-  LimitBook a_;
-  LimitBook b_;
+  LimitRegistry owner_;
+  LimitRegistry a_;
+  LimitRegistry b_;
   uint64_t last_update_ = 0;
 };
 
 TEST_F(LimitRegistryTest, LimitReachesAllHosts) {
-  EXPECT_TRUE(a_.TakeReported(kServer, Named(1.5), now_, now_));
+  EXPECT_TRUE(a_.ApplyReported(kServer, Named(1.5), now_, now_));
   EXPECT_TRUE(a_.HasNewRows());
   Exchange(a_, b_);
   EXPECT_EQ(b_.Find(kServer), 1.5);
@@ -62,24 +62,24 @@
 TEST_F(LimitRegistryTest, OlderAnswersNeitherRaiseNorLiftALimit) {
   const TimePoint before = now_;
   now_ += seconds(1);
-  a_.TakeReported(kServer, Named(1), now_, now_);
-  EXPECT_FALSE(a_.TakeReported(kServer, kNone, before, now_ + seconds(1)));
-  EXPECT_FALSE(a_.TakeReported(kServer, Named(9), before, now_ + seconds(1)));
+  a_.ApplyReported(kServer, Named(1), now_, now_);
+  EXPECT_FALSE(a_.ApplyReported(kServer, kNone, before, now_ + seconds(1)));
+  EXPECT_FALSE(a_.ApplyReported(kServer, Named(9), before, now_ + seconds(1)));
   EXPECT_EQ(a_.Find(kServer), 1);
-  EXPECT_TRUE(a_.TakeReported(kServer, Named(0.5), before, now_ + seconds(1)));
+  EXPECT_TRUE(a_.ApplyReported(kServer, Named(0.5), before, now_ + seconds(1)));
   const TimePoint after = now_ + seconds(2);
-  EXPECT_TRUE(a_.TakeReported(kServer, kNone, after, after));
+  EXPECT_TRUE(a_.ApplyReported(kServer, kNone, after, after));
   EXPECT_FALSE(a_.Find(kServer).has_value());
 }
 
 // Guards against a stale report of one host that lifts a limit which another
 // host has reported as lowered meanwhile.
 TEST_F(LimitRegistryTest, OwnerIgnoresReportsAboutOlderVersions) {
-  a_.TakeReported(kServer, Named(4), now_, now_);
+  a_.ApplyReported(kServer, Named(4), now_, now_);
   Exchange(a_, b_);
   now_ += seconds(1);
-  a_.TakeReported(kServer, kNone, now_, now_);
-  b_.TakeReported(kServer, Named(1), now_, now_);
+  a_.ApplyReported(kServer, kNone, now_, now_);
+  b_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(b_, b_);
   Exchange(a_, b_);
   EXPECT_EQ(owner_.Find(kServer), 1);
@@ -88,9 +88,9 @@
 }
 
 TEST_F(LimitRegistryTest, LiftedLimitIsLiftedAtAllHosts) {
-  a_.TakeReported(kServer, Named(4), now_, now_);
+  a_.ApplyReported(kServer, Named(4), now_, now_);
   Exchange(a_, b_);
-  b_.TakeReported(kServer, kNone, now_, now_);
+  b_.ApplyReported(kServer, kNone, now_, now_);
   Exchange(b_, a_);
   EXPECT_FALSE(owner_.Find(kServer).has_value());
   EXPECT_FALSE(a_.Find(kServer).has_value());
@@ -101,27 +101,28 @@
 // earlier incarnation, by a late answer or by the report of a host that has not
 // recorded the restart.
 TEST_F(LimitRegistryTest, RestartOfTheServerEndsItsLimit) {
-  a_.TakeReported(kServer, Named(1), now_, now_);
+  a_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(a_, b_);
   const TimePoint sent_before = now_;
   now_ += seconds(1);
   List(now_);
-  for (LimitBook* registry : {&owner_, &a_}) registry->Remove(kServer, now_);
-  EXPECT_FALSE(a_.TakeReported(kServer, Named(1), sent_before, now_));
+  for (LimitRegistry* registry : {&owner_, &a_})
+    registry->Remove(kServer, now_);
+  EXPECT_FALSE(a_.ApplyReported(kServer, Named(1), sent_before, now_));
   EXPECT_FALSE(a_.Find(kServer).has_value());
   EngineList earlier = servers_;
   earlier[kServer].started_at = sent_before;
-  b_.TakeReported(kServer, Named(0.5), now_, now_);
+  b_.ApplyReported(kServer, Named(0.5), now_, now_);
   owner_.TakeReport(b_.ReportRows(kToken, earlier, now_), servers_, now_);
   EXPECT_FALSE(owner_.Find(kServer).has_value());
 }
 
 TEST_F(LimitRegistryTest, LimitThatNoAnswerNamesExpires) {
-  a_.TakeReported(kServer, Named(1), now_, now_);
+  a_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(a_, b_);
   for (int i = 0; i < 3; ++i) {
     now_ += seconds(25);
-    a_.TakeReported(kServer, Named(1), now_, now_);
+    a_.ApplyReported(kServer, Named(1), now_, now_);
     Exchange(a_, b_);
     owner_.Expire(now_);
   }
@@ -136,16 +137,16 @@
 // Guards against a new owner, which starts without limits and must receive them
 // with the first reports of the hosts.
 TEST_F(LimitRegistryTest, HostsReportKnownLimitsToANewOwner) {
-  a_.TakeReported(kServer, Named(2), now_, now_);
+  a_.ApplyReported(kServer, Named(2), now_, now_);
   Exchange(a_, b_);
-  LimitBook next;
+  LimitRegistry next;
   next.TakeReport(a_.ReportRows(kToken + 1, servers_, now_), servers_, now_);
   EXPECT_EQ(next.Find(kServer), 2);
 }
 
 // Guards against rows of another program version, and corrupt ones.
 TEST_F(LimitRegistryTest, MalformedRowsAreIgnored) {
-  a_.TakeReported(kServer, Named(2), now_, now_);
+  a_.ApplyReported(kServer, Named(2), now_, now_);
   const Json good = a_.ReportRows(kToken, servers_, now_);
   Random random(20261203);
   const std::string text = good.dump();
@@ -156,7 +157,7 @@
           static_cast<char>(32 + random.Below(95));
     }
     const Json rows = Json::parse(mutated, nullptr, /*allow_exceptions=*/false);
-    LimitBook registry;
+    LimitRegistry registry;
     registry.TakeReport(rows, servers_, now_);
     registry.TakePlan(rows, kToken, servers_, now_);
     for (const auto& [server, per_second] : registry.Limits()) {
@@ -166,7 +167,7 @@
   for (const char* rows :
        {"null", "3", "{}", R"([["i-1"]])", R"([["i-1",0,"x",0,0]])",
         R"([["i-1",0,1,0,-1]])", R"([["i-1",0,1,-5,0,9]])"}) {
-    LimitBook registry;
+    LimitRegistry registry;
     registry.TakeReport(*ParseJson(rows), servers_, now_);
     registry.TakePlan(*ParseJson(rows), kToken, servers_, now_);
     EXPECT_TRUE(registry.Limits().empty()) << rows;
--- a/tests/node/quarantine_test.cc
+++ b/tests/node/quarantine_test.cc
@@ -331,12 +331,12 @@
   context.actions = &actions;
   context.now = TimePoint{std::chrono::hours(500000)};
   LogWriter writer(context);
-  QuarantineKeeper manager(context, writer);
-  const auto reads = [&](bool is_owner, bool hears_owner) {
+  QuarantineManager manager(context, writer);
+  const auto reads = [&](bool is_owner, bool is_owner_reachable) {
     actions.clear();
     for (int i = 0; i < 400; ++i) {
       context.now += milliseconds(25);
-      manager.RunTick(is_owner, hears_owner);
+      manager.RunTick(is_owner, is_owner_reachable);
     }
     return actions.size();
   };
