--- /dev/null
+++ b/node/limit_manager.cc
@@ -0,0 +1,324 @@
+#include "node/limit_manager.h"
+
+#include <absl/strings/str_cat.h>
+#include <absl/strings/str_format.h>
+
+#include <algorithm>
+
+#include "core/event_log.h"
+
+namespace applehall {
+namespace {
+
+using std::chrono::milliseconds;
+
+// Permit requests of one host are batched for this long. The first is sent at
+// once.
+constexpr Duration kRequestInterval = milliseconds(20);
+// A permit that was in transit for longer must not be used: the host may have
+// been suspended, and the owner counted the permit long ago.
+constexpr Duration kPermitTtl = milliseconds(250);
+constexpr size_t kMaxOpenRequests = 4096;
+// Retry delay if the owner does not answer.
+constexpr Duration kRetryInterval = milliseconds(100);
+
+// Keys of permit requests and answers. Rows are arrays to keep them short.
+constexpr char kToken[] = "k";
+constexpr char kAddress[] = "p";
+constexpr char kRequests[] = "a";
+constexpr char kAnswers[] = "g";
+
+// ID, server, caller, worth, is background, maximum wait in ms.
+Json RequestToJson(const PermitAsk& request) {
+  return Json::array({request.id, request.server, request.caller, request.worth,
+                      request.is_background, ToMillis(request.patience)});
+}
+
+std::optional<PermitAsk> ParseRequest(const Json& row) {
+  const bool is_request = row.is_array() && row.size() == 6 &&
+                          row[0].is_number_unsigned() && row[1].is_string() &&
+                          row[2].is_string() && row[3].is_number() &&
+                          row[4].is_boolean() && row[5].is_number_integer();
+  if (!is_request) return std::nullopt;
+  PermitAsk request;
+  request.id = row[0].get<uint64_t>();
+  request.server = row[1].get<std::string>();
+  request.caller = row[2].get<std::string>();
+  request.worth = row[3].get<double>();
+  request.is_background = row[4].get<bool>();
+  request.patience = milliseconds(std::max<int64_t>(0, row[5].get<int64_t>()));
+  return request;
+}
+
+// ID, is granted, waited in ms, retry after in ms.
+Json AnswerToJson(const PermitAnswer& answer) {
+  return Json::array({answer.id, answer.is_granted, ToMillis(answer.waited),
+                      ToMillis(answer.retry_after)});
+}
+
+std::optional<PermitAnswer> ParseAnswer(const Json& row) {
+  const bool is_answer = row.is_array() && row.size() == 4 &&
+                         row[0].is_number_unsigned() && row[1].is_boolean() &&
+                         row[2].is_number_integer() &&
+                         row[3].is_number_integer();
+  if (!is_answer) return std::nullopt;
+  PermitAnswer answer;
+  answer.id = row[0].get<uint64_t>();
+  answer.is_granted = row[1].get<bool>();
+  answer.waited = milliseconds(std::max<int64_t>(0, row[2].get<int64_t>()));
+  answer.retry_after =
+      milliseconds(std::max<int64_t>(0, row[3].get<int64_t>()));
+  return answer;
+}
+
+}  // namespace
+
+// ---- Limits ----
+
+void LimitManager::ApplyReported(const std::string& server,
+                                 const ReportedLimit& reported,
+                                 TimePoint sent_at) {
+  if (reported.kind == ReportedLimit::Kind::kMalformed) {
+    context_.metrics.Count("server_limits_unreadable_total");
+    LogEvent(LogLevel::kWarning, "server_limit_unreadable")
+        .With("server", server)
+        .With("text", reported.text);
+    return;
+  }
+  const std::optional<double> before = registry_.Find(server);
+  if (!registry_.ApplyReported(server, reported, sent_at, context_.now)) return;
+  LogEvent(LogLevel::kInfo, "server_limit_changed")
+      .With("server", server)
+      .With("per_second", reported.per_second)
+      .With("named", registry_.Find(server) ? "yes" : "no")
+      .With("before", before.value_or(-1))
+      .With("sent_ms_ago", ToMillis(context_.now - sent_at));
+  ApplyChanges();
+}
+
+// Applies changed limits to the ledger and to the permits of this host.
+void LimitManager::ApplyChanges() {
+  for (const std::string& server : registry_.TakeChanged()) {
+    const std::optional<double> limit = registry_.Find(server);
+    context_.metrics.Count("server_limit_changes_total");
+    LogEvent(LogLevel::kInfo, limit ? "server_limited" : "server_unlimited")
+        .With("server", server)
+        .With("per_second", limit.value_or(0))
+        .With("named_ms_ago", ToMillis(registry_.Age(server, context_.now)))
+        .With("owner", is_owner_reachable_ ? owner_.host : std::string("none"));
+    context_.view.Hold(server, {});
+    if (!limit) {
+      gate_.Forget(server);
+      if (ledger_) ledger_->Lift(server, context_.now);
+    } else if (ledger_) {
+      ledger_->SetLimit(server, *limit, context_.now);
+    }
+  }
+}
+
+void LimitManager::Forget(const std::string& server) {
+  registry_.Remove(server, context_.now);
+  ApplyChanges();
+}
+
+std::string LimitManager::Describe(const std::string& server) const {
+  return absl::StrFormat("%s accepts %.3g requests a second, named %d ms ago",
+                         server, registry_.Find(server).value_or(0),
+                         ToMillis(registry_.Age(server, context_.now)));
+}
+
+// ---- Permits ----
+
+LimitManager::Permit LimitManager::Acquire(const std::string& server,
+                                           const PermitRequest& wanted) {
+  if (gate_.TakeSpare(server, context_.now)) return Permit::kGranted;
+  if (!ledger_ && !is_owner_reachable_) {
+    const int hosts = known_hosts_ > 0 ? known_hosts_ : kAssumedHosts;
+    const bool is_taken =
+        gate_.TryAlone(server, registry_.Find(server).value_or(0), hosts,
+                       context_.random.Unit(), context_.now);
+    context_.metrics.Count(is_taken ? "server_limit_alone_total"
+                                    : "server_limit_alone_held_total");
+    return is_taken ? Permit::kGranted : Permit::kDenied;
+  }
+  if (requests_.size() >= kMaxOpenRequests) return Permit::kDenied;
+  PermitAsk request;
+  request.host = context_.settings.self.host;
+  request.id = ++last_request_id_;
+  request.server = server;
+  request.caller = wanted.caller;
+  request.worth = wanted.worth;
+  request.is_background = wanted.is_background;
+  request.patience = wanted.max_wait;
+  requests_[request.id] = {wanted.handle, server, context_.now,
+                           context_.now + wanted.max_wait + kPermitTtl};
+  context_.metrics.Count("server_limit_asks_total");
+  if (ledger_) {
+    ledger_->Ask(request, context_.now);
+    SendAnswers();
+    return Permit::kPending;
+  }
+  unsent_.push_back(RequestToJson(request));
+  if (context_.now - requests_sent_at_ >= kRequestInterval) SendRequests();
+  return Permit::kPending;
+}
+
+void LimitManager::ReturnPermit(const std::string& server) {
+  gate_.AddSpare(server, context_.now + kPermitTtl);
+}
+
+void LimitManager::SendRequests() {
+  if (unsent_.empty() || owner_.host.empty()) return;
+  requests_sent_at_ = context_.now;
+  Json body{{kToken, token_},
+            {kAddress, context_.settings.peer_address},
+            {kRequests, std::exchange(unsent_, Json::array())}};
+  context_.Emit(SendPeer{owner_.host,
+                         owner_.address,
+                         {PeerMessageType::kPermitAsk, std::move(body)}});
+}
+
+void LimitManager::HandlePermitRequests(const std::string& host,
+                                        const Json& body) {
+  if (!ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
+  requester_addresses_[host] = FieldOr<std::string>(body, kAddress, "");
+  for (const Json& row : body.value(kRequests, Json::array())) {
+    std::optional<PermitAsk> request = ParseRequest(row);
+    if (!request) continue;
+    request->host = host;
+    ledger_->Ask(*request, context_.now);
+  }
+  SendAnswers();
+}
+
+void LimitManager::SendAnswers() {
+  std::map<std::string, Json> rows;
+  for (const PermitAnswer& answer : ledger_->TakeAnswers()) {
+    context_.metrics.Count(answer.is_granted ? "server_limit_grants_total"
+                                             : "server_limit_denials_total");
+    if (answer.host == context_.settings.self.host) {
+      HandleAnswer(answer);
+      continue;
+    }
+    Json& host_rows =
+        rows.try_emplace(answer.host, Json::array()).first->second;
+    host_rows.push_back(AnswerToJson(answer));
+  }
+  for (auto& [host, answers] : rows) {
+    context_.Emit(
+        SendPeer{host,
+                 requester_addresses_[host],
+                 {PeerMessageType::kPermitAnswer,
+                  Json{{kToken, token_}, {kAnswers, std::move(answers)}}}});
+  }
+}
+
+void LimitManager::HandlePermitAnswers(const Json& body) {
+  if (ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
+  for (const Json& row : body.value(kAnswers, Json::array())) {
+    if (const std::optional<PermitAnswer> answer = ParseAnswer(row)) {
+      HandleAnswer(*answer);
+    }
+  }
+}
+
+void LimitManager::HandleAnswer(const PermitAnswer& answer) {
+  const auto it = requests_.find(answer.id);
+  if (it == requests_.end()) return;
+  const OpenRequest request = std::move(it->second);
+  requests_.erase(it);
+  const Duration in_transit =
+      context_.now - request.requested_at - answer.waited;
+  const bool is_usable = answer.is_granted && in_transit <= kPermitTtl;
+  if (answer.is_granted && !is_usable) {
+    context_.metrics.Count("server_limit_grants_lapsed_total");
+  }
+  outcomes_.push_back(
+      {request.handle, request.server, is_usable,
+       answer.is_granted
+           ? kRetryInterval
+           : std::max<Duration>(answer.retry_after, kRequestInterval)});
+}
+
+// Denies requests that the owner did not answer in time: it may have ended or
+// be suspended.
+void LimitManager::ExpireRequests() {
+  for (auto it = requests_.begin(); it != requests_.end();) {
+    const auto next = std::next(it);
+    if (it->second.expires_at <= context_.now) {
+      context_.metrics.Count("server_limit_asks_unanswered_total");
+      outcomes_.push_back(
+          {it->second.handle, it->second.server, false, kRetryInterval});
+      requests_.erase(it);
+    }
+    it = next;
+  }
+}
+
+// ---- Messages between hosts ----
+
+void LimitManager::StartPlanning(uint64_t& last_update) {
+  ledger_ = std::make_unique<PermitLedger>(known_hosts_);
+  requester_addresses_.clear();
+  registry_.RenumberRows(last_update);
+  for (const auto& [server, per_second] : registry_.Limits()) {
+    ledger_->SetLimit(server, per_second, context_.now);
+  }
+}
+
+void LimitManager::RunTick(const PeerAddress& owner, FencingToken token,
+                           bool is_reachable) {
+  if (token != token_) {
+    // The new owner's ledger has no requests of the former owner.
+    unsent_ = Json::array();
+    for (auto& [id, request] : requests_) request.expires_at = context_.now;
+  }
+  owner_ = owner;
+  token_ = token;
+  is_owner_reachable_ = is_reachable && !owner.host.empty();
+  if (is_owner_reachable_ || ledger_) known_hosts_ = context_.fleet_hosts;
+  if (registry_.empty() && requests_.empty()) return;
+  if (ledger_) {
+    ledger_->NoteHost(context_.settings.self.host, context_.now);
+    ledger_->Serve(context_.now);
+    SendAnswers();
+  } else {
+    SendRequests();
+  }
+  if (!is_owner_reachable_) registry_.Expire(context_.now);
+  ApplyChanges();
+  ExpireRequests();
+}
+
+Json LimitManager::ReportRows(FencingToken token, const EngineList& servers) {
+  return registry_.ReportRows(token, servers, context_.now);
+}
+
+void LimitManager::RecordHostContact(const std::string& host) {
+  if (ledger_) ledger_->NoteHost(host, context_.now);
+}
+
+void LimitManager::TakeReport(const std::string& host, const Json& rows,
+                              const EngineList& servers) {
+  if (!ledger_) return;
+  LogEvent(LogLevel::kDebug, "server_limits_reported").With("by", host);
+  registry_.TakeReport(rows, servers, context_.now);
+  ApplyChanges();
+}
+
+void LimitManager::TakePlan(const Json& rows, FencingToken token,
+                            const EngineList& servers) {
+  registry_.TakePlan(rows, token, servers, context_.now);
+  ApplyChanges();
+}
+
+Json LimitManager::ToJson() const {
+  Json json{{"limits", registry_.ToJson(context_.now)},
+            {"asks", requests_.size()},
+            {"owner_heard", is_owner_reachable_},
+            {"told_hosts", known_hosts_}};
+  if (ledger_) json["ledger"] = ledger_->ToJson(context_.now);
+  return json;
+}
+
+}  // namespace applehall
--- a/tests/node/limit_book_test.cc
+++ b/tests/node/limit_registry_test.cc
@@ -1,4 +1,4 @@
-#include "node/limit_book.h"
+#include "node/limit_registry.h"
 
 #include <gtest/gtest.h>
 
@@ -19,9 +19,9 @@
 }
 const ReportedLimit kNone{Kind::kNone, 0, {}};
 
-class LimitBookTest : public testing::Test {
+class LimitRegistryTest : public testing::Test {
  protected:
-  LimitBookTest() { List(now_); }
+  LimitRegistryTest() { List(now_); }
 
   void List(TimePoint started_at) {
     ListedServer server;
@@ -29,11 +29,12 @@
     server.started_at = started_at;
     servers_[kServer] = server;
   }
-  // What `host` observed reaches the owner, and the owner's word all hosts.
-  void Exchange(LimitBook& host, LimitBook& other) {
+  // Delivers the report of `host` to the owner and the owner's plan to both
+  // hosts.
+  void Exchange(LimitRegistry& host, LimitRegistry& other) {
     now_ += milliseconds(20);
     owner_.TakeReport(host.ReportRows(kToken, servers_, now_), servers_, now_);
-    owner_.NumberRows(news_);
+    owner_.NumberRows(last_update_);
     const Json rows = owner_.PlanRows(0, servers_, now_);
     host.TakePlan(rows, kToken, servers_, now_);
     other.TakePlan(rows, kToken, servers_, now_);
@@ -42,43 +43,43 @@
 
   TimePoint now_{std::chrono::hours(500000)};
   EngineList servers_;
-  LimitBook owner_;
-  LimitBook a_;
-  LimitBook b_;
-  uint64_t news_ = 0;
+  LimitRegistry owner_;
+  LimitRegistry a_;
+  LimitRegistry b_;
+  uint64_t last_update_ = 0;
 };
 
-TEST_F(LimitBookTest, LimitReachesAllHosts) {
-  EXPECT_TRUE(a_.TakeReported(kServer, Named(1.5), now_, now_));
+TEST_F(LimitRegistryTest, LimitReachesAllHosts) {
+  EXPECT_TRUE(a_.ApplyReported(kServer, Named(1.5), now_, now_));
   EXPECT_TRUE(a_.HasNewRows());
   Exchange(a_, b_);
   EXPECT_EQ(b_.Find(kServer), 1.5);
   EXPECT_FALSE(a_.HasNewRows());
 }
 
-// Guards against an answer that was written before the limit and arrives after
-// it: it would lift the limit.
-TEST_F(LimitBookTest, OlderAnswersNeitherRaiseNorLiftALimit) {
+// Guards against an answer that overtook the answer with the limit: a delayed
+// older answer would lift the limit.
+TEST_F(LimitRegistryTest, OlderAnswersNeitherRaiseNorLiftALimit) {
   const TimePoint before = now_;
   now_ += seconds(1);
-  a_.TakeReported(kServer, Named(1), now_, now_);
-  EXPECT_FALSE(a_.TakeReported(kServer, kNone, before, now_ + seconds(1)));
-  EXPECT_FALSE(a_.TakeReported(kServer, Named(9), before, now_ + seconds(1)));
+  a_.ApplyReported(kServer, Named(1), now_, now_);
+  EXPECT_FALSE(a_.ApplyReported(kServer, kNone, before, now_ + seconds(1)));
+  EXPECT_FALSE(a_.ApplyReported(kServer, Named(9), before, now_ + seconds(1)));
   EXPECT_EQ(a_.Find(kServer), 1);
-  EXPECT_TRUE(a_.TakeReported(kServer, Named(0.5), before, now_ + seconds(1)));
+  EXPECT_TRUE(a_.ApplyReported(kServer, Named(0.5), before, now_ + seconds(1)));
   const TimePoint after = now_ + seconds(2);
-  EXPECT_TRUE(a_.TakeReported(kServer, kNone, after, after));
+  EXPECT_TRUE(a_.ApplyReported(kServer, kNone, after, after));
   EXPECT_FALSE(a_.Find(kServer).has_value());
 }
 
-// Guards against a host that reports a limit as lifted which another host has
-// heard lowered meanwhile.
-TEST_F(LimitBookTest, OwnerTakesOnlyWordsOnItsNewestVersion) {
-  a_.TakeReported(kServer, Named(4), now_, now_);
+// Guards against a stale report of one host that lifts a limit which another
+// host has reported as lowered meanwhile.
+TEST_F(LimitRegistryTest, OwnerIgnoresReportsAboutOlderVersions) {
+  a_.ApplyReported(kServer, Named(4), now_, now_);
   Exchange(a_, b_);
   now_ += seconds(1);
-  a_.TakeReported(kServer, kNone, now_, now_);
-  b_.TakeReported(kServer, Named(1), now_, now_);
+  a_.ApplyReported(kServer, kNone, now_, now_);
+  b_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(b_, b_);
   Exchange(a_, b_);
   EXPECT_EQ(owner_.Find(kServer), 1);
@@ -86,40 +87,42 @@
   EXPECT_EQ(b_.Find(kServer), 1);
 }
 
-TEST_F(LimitBookTest, LiftedLimitIsLiftedEverywhere) {
-  a_.TakeReported(kServer, Named(4), now_, now_);
+TEST_F(LimitRegistryTest, LiftedLimitIsLiftedAtAllHosts) {
+  a_.ApplyReported(kServer, Named(4), now_, now_);
   Exchange(a_, b_);
-  b_.TakeReported(kServer, kNone, now_, now_);
+  b_.ApplyReported(kServer, kNone, now_, now_);
   Exchange(b_, a_);
   EXPECT_FALSE(owner_.Find(kServer).has_value());
   EXPECT_FALSE(a_.Find(kServer).has_value());
   EXPECT_TRUE(a_.Limits().empty());
 }
 
-// Guards against a server that starts again under its id and is held to what
-// its earlier life named, by a late answer or by a host that has not heard.
-TEST_F(LimitBookTest, LimitEndsWithTheLifeThatNamedIt) {
-  a_.TakeReported(kServer, Named(1), now_, now_);
+// Guards against a server that restarts under its id and keeps the limit of its
+// earlier incarnation, by a late answer or by the report of a host that has not
+// recorded the restart.
+TEST_F(LimitRegistryTest, RestartOfTheServerEndsItsLimit) {
+  a_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(a_, b_);
   const TimePoint sent_before = now_;
   now_ += seconds(1);
   List(now_);
-  for (LimitBook* book : {&owner_, &a_}) book->Forget(kServer, now_);
-  EXPECT_FALSE(a_.TakeReported(kServer, Named(1), sent_before, now_));
+  for (LimitRegistry* registry : {&owner_, &a_})
+    registry->Remove(kServer, now_);
+  EXPECT_FALSE(a_.ApplyReported(kServer, Named(1), sent_before, now_));
   EXPECT_FALSE(a_.Find(kServer).has_value());
   EngineList earlier = servers_;
   earlier[kServer].started_at = sent_before;
-  b_.TakeReported(kServer, Named(0.5), now_, now_);
+  b_.ApplyReported(kServer, Named(0.5), now_, now_);
   owner_.TakeReport(b_.ReportRows(kToken, earlier, now_), servers_, now_);
   EXPECT_FALSE(owner_.Find(kServer).has_value());
 }
 
-TEST_F(LimitBookTest, LimitThatNobodyNamesAnyMoreEnds) {
-  a_.TakeReported(kServer, Named(1), now_, now_);
+TEST_F(LimitRegistryTest, LimitThatNoAnswerNamesExpires) {
+  a_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(a_, b_);
   for (int i = 0; i < 3; ++i) {
     now_ += seconds(25);
-    a_.TakeReported(kServer, Named(1), now_, now_);
+    a_.ApplyReported(kServer, Named(1), now_, now_);
     Exchange(a_, b_);
     owner_.Expire(now_);
   }
@@ -131,18 +134,19 @@
   EXPECT_FALSE(a_.Find(kServer).has_value());
 }
 
-// A new owner knows nothing; what all hosts know reaches it with their reports.
-TEST_F(LimitBookTest, NewOwnerLearnsFromTheHosts) {
-  a_.TakeReported(kServer, Named(2), now_, now_);
+// Guards against a new owner, which starts without limits and must receive them
+// with the first reports of the hosts.
+TEST_F(LimitRegistryTest, HostsReportKnownLimitsToANewOwner) {
+  a_.ApplyReported(kServer, Named(2), now_, now_);
   Exchange(a_, b_);
-  LimitBook next;
+  LimitRegistry next;
   next.TakeReport(a_.ReportRows(kToken + 1, servers_, now_), servers_, now_);
   EXPECT_EQ(next.Find(kServer), 2);
 }
 
-// Guards against rows of another version of the program, or of none.
-TEST_F(LimitBookTest, MalformedRowsAreLeftOut) {
-  a_.TakeReported(kServer, Named(2), now_, now_);
+// Guards against rows of another program version, and corrupt ones.
+TEST_F(LimitRegistryTest, MalformedRowsAreIgnored) {
+  a_.ApplyReported(kServer, Named(2), now_, now_);
   const Json good = a_.ReportRows(kToken, servers_, now_);
   Random random(20261203);
   const std::string text = good.dump();
@@ -153,20 +157,20 @@
           static_cast<char>(32 + random.Below(95));
     }
     const Json rows = Json::parse(mutated, nullptr, /*allow_exceptions=*/false);
-    LimitBook book;
-    book.TakeReport(rows, servers_, now_);
-    book.TakePlan(rows, kToken, servers_, now_);
-    for (const auto& [server, per_second] : book.Limits()) {
+    LimitRegistry registry;
+    registry.TakeReport(rows, servers_, now_);
+    registry.TakePlan(rows, kToken, servers_, now_);
+    for (const auto& [server, per_second] : registry.Limits()) {
       EXPECT_GE(per_second, 0) << mutated;
     }
   }
   for (const char* rows :
        {"null", "3", "{}", R"([["i-1"]])", R"([["i-1",0,"x",0,0]])",
         R"([["i-1",0,1,0,-1]])", R"([["i-1",0,1,-5,0,9]])"}) {
-    LimitBook book;
-    book.TakeReport(*ParseJson(rows), servers_, now_);
-    book.TakePlan(*ParseJson(rows), kToken, servers_, now_);
-    EXPECT_TRUE(book.Limits().empty()) << rows;
+    LimitRegistry registry;
+    registry.TakeReport(*ParseJson(rows), servers_, now_);
+    registry.TakePlan(*ParseJson(rows), kToken, servers_, now_);
+    EXPECT_TRUE(registry.Limits().empty()) << rows;
   }
 }
 
