--- a/node/early_requests.cc
+++ b/node/early_requests.cc
@@ -27,7 +27,7 @@
   return true;
 }
 
-bool EarlyRequests::Remove(RequestHandle handle) {
+bool EarlyRequests::CancelHeld(RequestHandle handle) {
   const auto it = std::find_if(
       held_.begin(), held_.end(),
       [handle](const Held& held) { return held.arrival.handle == handle; });
--- a/node/early_requests.h
+++ b/node/early_requests.h
@@ -28,7 +28,7 @@
   bool TryHold(const RequestArrived& arrival);
   // Removes a request whose caller has left; returns true if it was held. Not
   // thread-safe.
-  bool Remove(RequestHandle handle);
+  bool CancelHeld(RequestHandle handle);
   // Removes and returns the requests that cannot be held any longer. Not
   // thread-safe.
   std::vector<Held> TakeOverdue();
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -673,12 +673,13 @@
 
 bool RequestFlow::TrySpendRetry(Request& request) {
   if (IsFleet()) {
-    RetryBudget& budget = backend_retries_[request.service];
-    budget.SetMaxSaved(context_.settings.retry_slack / context_.fleet_hosts);
-    return budget.TrySpend();
+    RetryBudget& per_service = backend_retries_[request.service];
+    per_service.SetMaxSaved(context_.settings.retry_slack /
+                            context_.fleet_hosts);
+    return per_service.TrySpend();
   }
-  RetryBudget& budget = callers_[request.arrival.facts.caller].retries;
-  return budget.TrySpend() && backend_retries_[request.backend].TrySpend();
+  RetryBudget& per_caller = callers_[request.arrival.facts.caller].retries;
+  return per_caller.TrySpend() && backend_retries_[request.backend].TrySpend();
 }
 
 void RequestFlow::Backoff(Request& request) {
@@ -738,7 +739,7 @@
 }
 
 void RequestFlow::CallerLeft(const CallerGone& event) {
-  if (early_.Remove(event.handle)) return;
+  if (early_.CancelHeld(event.handle)) return;
   Request* request = Find(event.handle);
   if (request == nullptr) return;
   const bool was_sent = request->phase == Phase::kSent;
@@ -865,11 +866,11 @@
   double worth = 0;
   for (const auto& [handle, entry] : state.queue.entries()) {
     const Request& request = *requests_.at(handle);
-    const Duration target_latency = request.rule().then.target_latency;
+    const Duration latency = request.rule().then.target_latency;
     const bool is_late =
-        target_latency > Duration::zero() &&
+        latency > Duration::zero() &&
         context_.settings.policies.Has(Policy::kLateWorth) &&
-        context_.now + kTypicalLoadTime > request.arrived_at + target_latency;
+        context_.now + kTypicalLoadTime > request.arrived_at + latency;
     worth += entry.request.worth * (is_late ? kLateWorthShare : 1.0);
   }
   return worth;
--- a/tests/admission/admission_queue_test.cc
+++ b/tests/admission/admission_queue_test.cc
@@ -22,8 +22,8 @@
   return request;
 }
 
-// One caller sends a burst. Another's single request, which came last, must
-// not wait behind all of it.
+// A single request that arrives after another caller's burst must not wait
+// behind all of it.
 TEST(AdmissionQueueTest, BurstDoesNotPushOutAnotherCaller) {
   AdmissionQueue queue;
   for (RequestHandle i = 1; i <= 100; ++i) {
@@ -38,9 +38,9 @@
   EXPECT_LE(before, 2);
 }
 
-// The burst has filled the queue. The other caller's request takes the place
-// of the burst's last, which is refused instead.
-TEST(AdmissionQueueTest, FullQueueMakesRoomForACallerWithLess) {
+// One caller's burst has filled the queue. Another caller's request displaces
+// the last of the burst.
+TEST(AdmissionQueueTest, FullQueueDisplacesBurstForAnotherCaller) {
   AdmissionQueue queue;
   for (RequestHandle i = 1; i <= 10; ++i) {
     EXPECT_FALSE(queue.Add(Make(i, "burst", seconds(10)), 10));
@@ -50,8 +50,8 @@
   EXPECT_TRUE(queue.Contains(12));
 }
 
-// Overnight work waits with a deadline far away, while others keep coming. It
-// must yield to them, and still be served before its own deadline.
+// Background work with a distant deadline yields to other requests and is still
+// served before its deadline.
 TEST(AdmissionQueueTest, BackgroundYieldsUntilItIsUrgent) {
   AdmissionQueue queue;
   queue.Add(Make(1, "night", hours(1)), 10);
@@ -64,7 +64,7 @@
   EXPECT_EQ(queue.Best(late, false), RequestHandle{1});
 }
 
-TEST(AdmissionQueueTest, WorthAndSlackOrder) {
+TEST(AdmissionQueueTest, OrdersByWorthAndSlack) {
   AdmissionQueue queue;
   queue.Add(Make(1, "a", seconds(10)), 10);
   queue.Add(Make(2, "b", seconds(10), 100.0), 10);
--- a/tests/admission/permit_ledger_test.cc
+++ b/tests/admission/permit_ledger_test.cc
@@ -62,9 +62,9 @@
   std::vector<uint64_t> order_;
 };
 
-// Guards against requests that wait for a turn which comes too late: their
-// callers could have gone elsewhere.
-TEST_F(PermitLedgerTest, WhatCannotComeInTimeIsRefusedAtOnce) {
+// Guards against requests that wait for a permit that comes too late, while
+// their callers could have gone elsewhere.
+TEST_F(PermitLedgerTest, RequestThatCannotBeServedInTimeIsRefusedAtOnce) {
   const uint64_t first = Ask(milliseconds(1500));
   const uint64_t second = Ask(milliseconds(1500));
   EXPECT_FALSE(Granted(first).has_value());
@@ -75,15 +75,16 @@
   EXPECT_EQ(Granted(first), true);
 }
 
-TEST_F(PermitLedgerTest, WhoHasAnotherWayIsToldAtOnce) {
+TEST_F(PermitLedgerTest, RequestWithoutMaxWaitIsAnsweredAtOnce) {
   const uint64_t id = Ask(Duration{0});
   EXPECT_EQ(Granted(id), false);
   Run(milliseconds(1200));
   EXPECT_EQ(Granted(Ask(Duration{0})), true);
 }
 
-// A scarce place goes to what is worth most, whenever it came.
-TEST_F(PermitLedgerTest, WorthGoesFirst) {
+// Permits go to the request with the highest worth, regardless of arrival
+// order.
+TEST_F(PermitLedgerTest, HigherWorthIsGrantedFirst) {
   const uint64_t low = Ask(milliseconds(1500), 1);
   const uint64_t high = Ask(milliseconds(1500), 30);
   Run(milliseconds(1200));
@@ -91,8 +92,8 @@
   EXPECT_EQ(Granted(low), false);
 }
 
-// Guards against a team that fills the queue of a limited server alone.
-TEST_F(PermitLedgerTest, BurstOfOneCallerLeavesRoomForOthers) {
+// Guards against one caller that fills the queue of a limited server.
+TEST_F(PermitLedgerTest, BurstOfOneCallerDoesNotBlockOthers) {
   ledger_.SetLimit(kServer, 2, now_);
   for (int i = 0; i < 50; ++i) Ask(seconds(4), 1, "greedy");
   const uint64_t other = Ask(seconds(4), 1, "other");
@@ -100,7 +101,7 @@
   EXPECT_EQ(Granted(other), true);
 }
 
-TEST_F(PermitLedgerTest, LiftedLimitGrantsAllThatWaits) {
+TEST_F(PermitLedgerTest, LiftedLimitGrantsAllWaitingRequests) {
   const uint64_t first = Ask(milliseconds(1500));
   ledger_.Lift(kServer, now_);
   Collect();
@@ -108,8 +109,9 @@
   EXPECT_EQ(Granted(Ask(Duration{0})), true);
 }
 
-// Guards against an owner that gives out what silent hosts send by themselves.
-TEST_F(PermitLedgerTest, PartOfSilentHostsIsSetAside) {
+// Guards against an owner that grants permits which unreachable hosts use
+// without asking.
+TEST_F(PermitLedgerTest, PartOfUnreachableHostsIsSetAside) {
   PermitLedger ledger(2);
   ledger.NoteHost("a", now_);
   ledger.NoteHost("b", now_);
@@ -126,14 +128,14 @@
       }
     }
   }
-  // Eight seconds at three quarters of ten.
+  // Eight seconds at three quarters of the limit of 10.
   EXPECT_LE(granted, 8 * 7.5 + 3);
   EXPECT_GE(granted, 8 * 7.5 * 0.9);
 }
 
-// Guards against hosts that cannot ask and each send what one host may: 300 of
-// them, with a request each now and then.
-TEST(PermitGateTest, HostsAloneTogetherSendHalfTheLimit) {
+// Guards against isolated hosts that each send what one host may, with up to
+// 300 hosts that get a request now and then.
+TEST(PermitGateTest, IsolatedHostsTogetherSendHalfTheLimit) {
   for (const int hosts : {8, 87, 300}) {
     for (const double limit : {1.0, 40.0}) {
       std::vector<PermitGate> gates(hosts);
@@ -155,7 +157,7 @@
   }
 }
 
-TEST(PermitGateTest, SparePermitsLapse) {
+TEST(PermitGateTest, SparePermitsExpire) {
   PermitGate gate;
   const TimePoint now{std::chrono::hours(500000)};
   gate.AddSpare(kServer, now + milliseconds(100));
--- a/tests/admission/quota_fixture.h
+++ b/tests/admission/quota_fixture.h
@@ -1,5 +1,5 @@
-// Gates of many hosts and the ledger of one owner, under a paused clock: what
-// hosts report and are told arrives late, or not at all where they are cut off.
+// Quota gates of many hosts and the ledger of one owner, under a paused clock.
+// Reports and shares arrive late, or not at all at hosts that are cut off.
 
 #ifndef APPLEHALL_TESTS_ADMISSION_QUOTA_FIXTURE_H_
 #define APPLEHALL_TESTS_ADMISSION_QUOTA_FIXTURE_H_
@@ -22,7 +22,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// How far a deployment's rules let a team go beyond its quota in one window.
+// Overage that a deployment's rules allow a team in one window.
 inline constexpr Duration kQuotaWindow = seconds(8);
 inline constexpr double kQuotaOverage = 0.1;
 inline constexpr double kQuotaSlack = 11000;
@@ -39,7 +39,7 @@
     StartOwner();
   }
 
-  // A team with a limit, and callers that together ask for `usual` tokens a
+  // Adds a team with a limit, whose callers together use `usual` tokens a
   // second in requests of `cost`.
   void AddTeam(const std::string& name, double limit, double usual, double cost,
                int callers) {
@@ -73,16 +73,16 @@
   void RestartAll() {
     for (size_t i = 0; i < hosts_.size(); ++i) Restart(i);
   }
-  // The owner is gone; another begins after `gap`.
+  // Removes the owner; another one starts after `gap`.
   void ReplaceOwner(Duration gap) {
     ledger_.reset();
-    owner_begins_ = now_ + gap;
+    owner_starts_at_ = now_ + gap;
   }
 
   void Run(Duration duration) {
     for (const TimePoint end = now_ + duration; now_ < end;) {
       now_ += kStep;
-      if (!ledger_ && now_ >= owner_begins_) StartOwner();
+      if (!ledger_ && now_ >= owner_starts_at_) StartOwner();
       Deliver();
       RunOwner();
       RunHosts();
@@ -90,15 +90,15 @@
     }
   }
 
-  // The most that a team got admitted in any window, as a part of what its
-  // rules allow. Requests that began before `from` do not count.
+  // Returns the maximum that a team was admitted in any window, as a share of
+  // what its rules allow. Requests before `from` do not count.
   double WorstWindow(const std::string& name, double limit,
                      TimePoint from = {}) const {
     const double allowed =
         (limit * ToSeconds(kQuotaWindow) + limit) * (1 + kQuotaOverage) +
         kQuotaSlack;
     double sum = 0;
-    double most = 0;
+    double max_sum = 0;
     std::deque<std::pair<TimePoint, double>> window;
     for (const auto& [at, cost] : admitted_.at(name)) {
       if (at < from) continue;
@@ -108,9 +108,9 @@
         sum -= window.front().second;
         window.pop_front();
       }
-      most = std::max(most, sum);
+      max_sum = std::max(max_sum, sum);
     }
-    return most / allowed;
+    return max_sum / allowed;
   }
 
   struct Count {
@@ -118,11 +118,11 @@
     double admitted = 0;
     double ServedShare() const { return asked > 0 ? admitted / asked : 1; }
   };
-  // Since the last call.
+  // Returns the counts since the last call.
   Count TakeCount(const std::string& name) {
     return std::exchange(counts_[name], {});
   }
-  // When each request of a team was admitted.
+  // Returns the times at which a team's requests were admitted.
   std::vector<TimePoint> AdmittedAt(const std::string& name) const {
     std::vector<TimePoint> times;
     for (const auto& [at, cost] : admitted_.at(name)) times.push_back(at);
@@ -149,7 +149,7 @@
     Team team;
     double demand = 0;  // Tokens a second.
     double cost = 0;
-    std::vector<size_t> callers;  // At which host each of them is.
+    std::vector<size_t> callers;  // Index of each caller's host.
   };
   struct Message {
     TimePoint due;
@@ -216,7 +216,7 @@
 
   void RunCallers(const std::string& name, Load& load) {
     double tokens = load.demand * ToSeconds(kStep);
-    // Requests come one by one, at uneven times and of uneven size.
+    // Requests arrive one by one, at irregular times and of varying cost.
     while (tokens > 0) {
       const double cost = load.cost * (0.2 + 1.6 * random_.Unit());
       if (random_.Unit() * cost < tokens) Ask(name, load, cost);
@@ -241,7 +241,7 @@
   std::map<std::string, Load> teams_;
   std::shared_ptr<const TeamBook> book_;
   std::unique_ptr<QuotaLedger> ledger_;
-  TimePoint owner_begins_;
+  TimePoint owner_starts_at_;
   TimePoint planned_at_;
   std::deque<Message> messages_;
   std::map<std::string, std::vector<std::pair<TimePoint, double>>> admitted_;
--- a/tests/admission/quota_test.cc
+++ b/tests/admission/quota_test.cc
@@ -1,4 +1,4 @@
-// Teams are held to their quotas by all hosts together.
+// Tests that all hosts together enforce the teams' quotas.
 
 #include "tests/admission/quota_fixture.h"
 
@@ -7,11 +7,11 @@
 
 constexpr double kLargeLimit = 180000;
 constexpr double kSmallLimit = 2700;
-constexpr double kRequest = 1700;     // Tokens of a usual request.
-constexpr double kUsualShare = 0.55;  // Of its limit that a team asks for.
+constexpr double kRequest = 1700;     // Tokens of a typical request.
+constexpr double kUsualShare = 0.55;  // A team's usual share of its limit.
 constexpr int kHosts = 300;
 
-// One large team and several small ones, each within its limit.
+// Creates one large team and several small ones, each within its limit.
 QuotaFleet MakeFleet(uint64_t seed, int hosts = kHosts,
                      QuotaSplit split = QuotaSplit::kByDemand) {
   QuotaFleet fleet(hosts, seed, split);
@@ -23,9 +23,9 @@
   return fleet;
 }
 
-// A small team's quota is less than one request for most of 300 hosts. Were it
-// cut into equal parts, its callers were refused at each host they came to
-// although together they asked for half of what they had bought.
+// A small team's quota is less than one request for most of 300 hosts. If it
+// were split evenly, each host would refuse the team although the team uses
+// half of its quota.
 TEST(QuotaTest, TeamsWithinTheirQuotaAreNotRefused) {
   QuotaFleet fleet = MakeFleet(1);
   fleet.Run(seconds(4));
@@ -38,7 +38,7 @@
   }
 }
 
-// What the ways of dividing a quota are worth to a small team within it, whose
+// Compares the ways of dividing a quota for a small team within it, whose
 // callers are at four of 300 hosts.
 TEST(QuotaTest, SharesOfDemandRefuseFewestOfASmallTeam) {
   std::map<QuotaSplit, double> served;
@@ -56,8 +56,8 @@
   EXPECT_GE(served[QuotaSplit::kByUsage], served[QuotaSplit::kEven]);
 }
 
-// One team sends 7.5 times its usual. It gets what it bought, no more, and the
-// others do not notice.
+// One team sends 7.5 times its usual load: it gets its quota and no more, and
+// other teams are not affected.
 TEST(QuotaTest, HotTeamGetsItsQuotaAndOthersTheirs) {
   QuotaFleet fleet = MakeFleet(2);
   fleet.Run(seconds(10));
@@ -71,7 +71,7 @@
   EXPECT_GE(fleet.TakeCount("small-0").ServedShare(), 0.9);
 }
 
-TEST(QuotaTest, HotSmallTeamIsHeld) {
+TEST(QuotaTest, HotSmallTeamIsLimited) {
   QuotaFleet fleet = MakeFleet(3);
   fleet.Run(seconds(10));
   fleet.SetDemand("small-0", 7.5 * kUsualShare * kSmallLimit);
@@ -79,10 +79,10 @@
   EXPECT_LE(fleet.WorstWindow("small-0", kSmallLimit), 1.0);
 }
 
-// A third of the hosts is cut off for 12 s while a team sends many times its
-// usual. The hosts on both sides went on with what they had been told, and the
-// team got its quota once on each side.
-TEST(QuotaTest, CutHostsKeepToTheirPart) {
+// A third of the hosts is cut off for 12 s while a team overloads. If both
+// sides kept using the last shares, the team would get its quota once on each
+// side.
+TEST(QuotaTest, IsolatedHostsKeepToTheirPart) {
   for (const uint64_t seed : {4, 5, 6}) {
     QuotaFleet fleet = MakeFleet(seed);
     fleet.Run(seconds(10));
@@ -96,9 +96,9 @@
   }
 }
 
-// Hosts that are cut off serve on: teams within their quota are hardly refused
-// at them.
-TEST(QuotaTest, CutHostsServeTeamsWithinTheirQuota) {
+// Hosts that are cut off continue to serve teams within their quota with few
+// refusals.
+TEST(QuotaTest, IsolatedHostsServeTeamsWithinTheirQuota) {
   QuotaFleet fleet = MakeFleet(7, /*hosts=*/90);
   fleet.Run(seconds(10));
   fleet.CutShare(0.25, true);
@@ -107,9 +107,9 @@
   EXPECT_GE(fleet.TakeCount("large").ServedShare(), 0.95);
 }
 
-// The owner dies while a team is held back; the next one knows nothing of what
-// was admitted.
-TEST(QuotaTest, NextOwnerHoldsOnToTheLimit) {
+// The owner is lost while a team is limited; the next owner has no record of
+// what was admitted.
+TEST(QuotaTest, NextOwnerEnforcesTheLimit) {
   for (const uint64_t seed : {8, 9, 10}) {
     QuotaFleet fleet = MakeFleet(seed);
     fleet.Run(seconds(10));
@@ -121,9 +121,9 @@
   }
 }
 
-// All hosts are killed at one moment while a team is held back, and are back a
-// second later. Nobody knows any more what the team has had.
-TEST(QuotaTest, RebornFleetHoldsOnToTheLimit) {
+// All hosts restart at once while a team is limited, so no process has a record
+// of the team's usage.
+TEST(QuotaTest, RestartedFleetEnforcesTheLimit) {
   for (const uint64_t seed : {11, 12, 13}) {
     QuotaFleet fleet = MakeFleet(seed, /*hosts=*/90);
     fleet.Run(seconds(10));
@@ -140,9 +140,9 @@
   }
 }
 
-// A quota is lowered far below what the team sends. It binds one window after
-// all hosts may know it.
-TEST(QuotaTest, LoweredQuotaBinds) {
+// A quota is lowered far below the team's load. It must bind one window after
+// all hosts may have received it.
+TEST(QuotaTest, LoweredQuotaIsEnforced) {
   QuotaFleet fleet = MakeFleet(14);
   fleet.Run(seconds(10));
   const double lowered = 0.2 * kLargeLimit;
@@ -153,9 +153,9 @@
   EXPECT_LE(fleet.WorstWindow("large", lowered, in_force), 1.0);
 }
 
-// Cuts, restarts, lost owners and swings of demand, at random and overlapping:
-// no team is admitted more than its rules allow, whatever happens.
-TEST(QuotaTest, NeverOverTheLimitWhateverHappens) {
+// Random overlapping cuts, restarts, owner losses and demand changes: no team
+// is admitted more than its rules allow.
+TEST(QuotaTest, LimitHoldsUnderRandomFaults) {
   for (uint64_t seed = 100; seed < 300; ++seed) {
     QuotaFleet fleet = MakeFleet(seed, /*hosts=*/60);
     fleet.Run(seconds(8));
@@ -180,8 +180,8 @@
   }
 }
 
-// Requests that were admitted and refused before they ran use nothing up.
-TEST(QuotaTest, WhatDidNotRunIsGivenBack) {
+// Requests that were admitted and refused before they ran use up no quota.
+TEST(QuotaTest, RequestsThatDidNotRunAreRefunded) {
   QuotaGate gate(QuotaTolerance{0}, QuotaSplit::kByDemand);
   Team team;
   team.name = "t";
--- a/tests/node/early_request_test.cc
+++ b/tests/node/early_request_test.cc
@@ -1,4 +1,4 @@
-// Requests that come before a host knows anything.
+// Tests requests that arrive before a host has read its rules.
 
 #include "tests/node/fleet_fixture.h"
 
@@ -13,10 +13,9 @@
   size_t Sent() const { return Done<DispatchRequest>("a").size(); }
 };
 
-// All hosts of a data centre are killed and back half a second later, with all
-// their callers. Each host had its rules 0.3 s after its start; until then it
-// refused whoever came, and they returned a second later.
-TEST_F(EarlyRequestTest, RequestsOfTheFirstMomentsWaitForTheRules) {
+// Guards against a mass restart in which each host refuses its returning
+// callers for the 0.3 s until it has read its rules.
+TEST_F(EarlyRequestTest, EarlyRequestsWaitForRules) {
   Start("a");
   Arrive("a", 1, "/once/x");
   Arrive("a", 2, "/again/x");
@@ -29,8 +28,8 @@
   EXPECT_EQ(Sent(), 2u);
 }
 
-// What was waited is taken off the time that the caller gave.
-TEST_F(EarlyRequestTest, DeadlinesCountFromTheArrival) {
+// The time that a request was held counts against the caller's deadline.
+TEST_F(EarlyRequestTest, DeadlineCountsFromArrival) {
   Start("a");
   const TimePoint arrived_at = now_ + milliseconds(25);
   Run(milliseconds(25));
@@ -42,9 +41,9 @@
   EXPECT_EQ(Done<DispatchRequest>("a")[0].deadline, arrived_at + seconds(1));
 }
 
-// The store is away while hosts restart: nobody will learn any rules, and
-// callers are told so.
-TEST_F(EarlyRequestTest, WithoutTheStoreTheyAreRefusedAtOnce) {
+// The store is unavailable while hosts restart: no rules will be read, so
+// callers are refused at once.
+TEST_F(EarlyRequestTest, RequestsAreRefusedAtOnceWithoutStore) {
   Start("a");
   Arrive("a", 1, "/once/x");
   EXPECT_TRUE(Refused().empty());
@@ -57,7 +56,7 @@
   EXPECT_EQ(Refused().size(), 2u);
 }
 
-TEST_F(EarlyRequestTest, HeldForTheFirstMomentsOnly) {
+TEST_F(EarlyRequestTest, RequestsAreHeldForLimitedTime) {
   Start("a");
   Arrive("a", 1, "/once/x");
   Run(milliseconds(900));
@@ -66,7 +65,7 @@
   EXPECT_EQ(Refused().size(), 2u);
 }
 
-TEST_F(EarlyRequestTest, CallerThatLeavesIsForgotten) {
+TEST_F(EarlyRequestTest, RequestOfDepartedCallerIsRemoved) {
   Start("a");
   Arrive("a", 1, "/once/x");
   Handle("a", CallerGone{1});
@@ -76,8 +75,8 @@
   EXPECT_TRUE(Refused().empty());
 }
 
-// A host is told to stop while it still holds requests.
-TEST_F(EarlyRequestTest, DrainAnswersWhatIsHeld) {
+// A host starts to drain while it holds requests.
+TEST_F(EarlyRequestTest, DrainAnswersHeldRequests) {
   Start("a");
   Arrive("a", 1, "/once/x");
   Handle("a", DrainRequested{});
--- a/tests/node/node_failure_test.cc
+++ b/tests/node/node_failure_test.cc
@@ -1,5 +1,6 @@
-// Failures of whole deployments: several nodes and the fakes, with a paused
-// clock. Each test ends with the promises checked against the fakes' truth.
+// Failure tests of whole deployments: several nodes and the fakes, under a
+// paused clock. Each test ends with a check of the promises against the fakes'
+// records.
 
 #include <gtest/gtest.h>
 
@@ -97,9 +98,9 @@
   std::unique_ptr<Deployment> deployment_;
 };
 
-// A kiosk in each hall asks for the same cold model in the same second, many
-// times, at every host. One load each data centre must serve them all; a load
-// for each host would fill the engines with copies.
+// Every host receives many requests for the same cold model in the same second.
+// One load per data centre must serve them all; one per host would fill the
+// engines with copies.
 TEST_F(NodeFailureTest, BurstAtAllHostsLoadsOnce) {
   Start(Defaults());
   std::vector<uint64_t> requests;
@@ -113,8 +114,8 @@
   EXPECT_EQ(deployment_->loads_decided(), 2u) << "one for each data centre";
 }
 
-// An adapter is asked for while neither it nor its base model is loaded.
-TEST_F(NodeFailureTest, AdapterBringsItsBase) {
+// An adapter is requested while neither it nor its base model is loaded.
+TEST_F(NodeFailureTest, AdapterLoadIncludesBaseModel) {
   Start(Defaults());
   const uint64_t id = deployment_->Send("entry-1", "adapter-1");
   deployment_->RunFor(seconds(15));
@@ -122,9 +123,9 @@
   EXPECT_EQ(EnginesWith("model-1", "north"), 1);
 }
 
-// The engines are full to the last byte with models that nobody calls now. A
-// request for another model waited until its deadline, because an engine with
-// nothing free at all was never emptied.
+// The engines are filled exactly with idle models. A request for another model
+// waited until its deadline, because an engine without any free memory was
+// never evicted from.
 TEST_F(NodeFailureTest, FullEnginesMakeRoom) {
   DeploymentSettings settings = Defaults();
   settings.engines = 2;
@@ -140,9 +141,9 @@
   EXPECT_TRUE(IsAnswered(id)) << Reason(id);
 }
 
-// The engine is full with a base model and its adapters. A base model alone
-// cannot go, so they must go together.
-TEST_F(NodeFailureTest, BaseGoesWithItsAdapters) {
+// The engine is full with a base model and its adapters, which must be unloaded
+// together.
+TEST_F(NodeFailureTest, BaseIsUnloadedWithItsAdapters) {
   DeploymentSettings settings = Defaults();
   settings.engines = 2;
   settings.engine_bytes = 950'000'000;
@@ -155,8 +156,8 @@
   EXPECT_TRUE(IsAnswered(id)) << Reason(id);
 }
 
-// The owner dies while a load it ordered runs. Its successor must find the
-// load in the engine's inventory and wait for it, not order a second one.
+// The owner is killed during a load that it ordered. Its successor must find
+// the load in the engine's inventory and wait for it, not order a second one.
 TEST_F(NodeFailureTest, OwnerKilledInLoadIsAdopted) {
   Start(Defaults());
   const std::string owner = OwnerOf("north/0");
@@ -172,10 +173,10 @@
   EXPECT_EQ(deployment_->loads_decided(), 1u);
 }
 
-// The owner stops for half a minute, as a machine under a snapshot does, and
-// another host takes over. Both saw the same free memory. The old owner wakes
-// with orders in hand and believes that it still owns the engines.
-TEST_F(NodeFailureTest, PausedOwnerWakesAndCannotOrder) {
+// The owner is paused for 20 s, as by a VM snapshot, and another host takes
+// over with the same view of free memory. The old owner resumes with pending
+// orders and assumes that it still owns the engines.
+TEST_F(NodeFailureTest, ResumedOwnerCannotOrder) {
   DeploymentSettings settings = Defaults();
   settings.engines = 2;
   settings.engine_bytes = 1'500'000'000;
@@ -201,9 +202,9 @@
   }
 }
 
-// The same, but the engines obey whoever orders. The new owner must leave
-// them alone until the old one has said that it stopped: otherwise both fill
-// the same memory.
+// The same with engines that accept orders from any host. The new owner must
+// not use them until the old one has reported that it stopped; otherwise both
+// fill the same memory.
 TEST_F(NodeFailureTest, UnfencedEnginesWaitForTheFormerOwner) {
   DeploymentSettings settings = Defaults();
   settings.engines = 2;
@@ -226,11 +227,11 @@
   EXPECT_TRUE(IsAnswered(free)) << Reason(free);
 }
 
-// The engines obey anybody, and orders take up to eight seconds to arrive. The
-// owner is paused with loads on the wire, loses its ownership and wakes. Were
-// it to release at once, the new owner would count the memory as free that
-// those loads are about to take.
-TEST_F(NodeFailureTest, ReleaseWaitsForOrdersOnTheWire) {
+// Engines accept orders from any host, and orders take seconds to arrive. The
+// owner is paused with loads in flight, loses its ownership and resumes. If it
+// released at once, the new owner would count memory as free that those loads
+// are about to use.
+TEST_F(NodeFailureTest, ReleaseWaitsForOrdersInFlight) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     DeploymentSettings settings = Defaults();
     settings.seed = seed;
@@ -257,9 +258,9 @@
   }
 }
 
-// The owner dies, and the one engine that holds a model answers nobody. Its
-// successor does not know what that engine holds. The rule allows one replica;
-// loading the model elsewhere would make it two.
+// The owner is killed while the one engine that holds a model is unreachable.
+// Its successor does not know what that engine holds; loading the model
+// elsewhere would exceed the rule's one replica.
 TEST_F(NodeFailureTest, SilentEngineMayHoldTheModel) {
   Start(Defaults());
   const std::string owner = OwnerOf("north/0");
@@ -284,9 +285,9 @@
   EXPECT_EQ(EnginesWith("model-1", "north"), 1);
 }
 
-// The former owner of engines that obey anybody is gone for good. The host
-// list confirms it, and after the longest time an order can take the new
-// owner may load.
+// The former owner of engines that accept any order is gone for good. The new
+// owner may load once the host list confirms it and the maximum order delay has
+// passed.
 TEST_F(NodeFailureTest, UnfencedEnginesAreTakenAfterConfirmedDeparture) {
   DeploymentSettings settings = Defaults();
   settings.engines = 2;
@@ -302,9 +303,9 @@
   EXPECT_TRUE(IsAnswered(id)) << Reason(id);
 }
 
-// The log service is out for ten minutes. Warm and cold models must be served
-// all the same by the owners there are; only what the log guards is refused,
-// at once and truthfully.
+// The log is down for ten minutes. Owners must still serve warm and cold
+// models; only requests that the log guards are refused, at once and with the
+// true reason.
 TEST_F(NodeFailureTest, LogDownServesModelsAndRefusesDoors) {
   Start(Defaults());
   deployment_->SetLogDown(true);
@@ -323,9 +324,9 @@
   EXPECT_TRUE(IsAnswered(again)) << Reason(again);
 }
 
-// The log takes the claim of a door-open, its answer is lost, and the log
-// goes down before the host can read. The caller is told "not run"; the door
-// must not open when the log returns, and the key may be tried again.
+// The log stores the claim of a door-open, the answer is lost, and the log goes
+// down before the host can read. The caller is refused as "not run", so the
+// door must not open when the log returns, and the key may be used again.
 TEST_F(NodeFailureTest, ClaimLostInOutageIsNotRunLater) {
   Start(Defaults());
   const std::string key = NewKey();
@@ -343,7 +344,7 @@
   EXPECT_EQ(deployment_->RunsOfKey(key), 1);
 }
 
-// A kiosk sends the same door-open to all four hosts at once.
+// The same door-open is sent to all four hosts at once.
 TEST_F(NodeFailureTest, SameKeyAtAllHostsRunsOnce) {
   Start(Defaults());
   const std::string key = NewKey();
@@ -358,9 +359,9 @@
   EXPECT_EQ(answered, 1);
 }
 
-// The locker takes the door-open and breaks before it answers. Whether the
-// door opened is not known: the call must not be sent again, and the caller
-// must not be told "not run".
+// The service accepts the door-open and breaks before it answers. Whether the
+// door opened is unknown: the call must not be repeated and the caller must not
+// receive "not run".
 TEST_F(NodeFailureTest, BrokenCallThatMayNotRepeatIsNotRetried) {
   Start(Defaults());
   deployment_->FailServices(true);
@@ -376,9 +377,9 @@
             RefusalReason::kDuplicateRequest);
 }
 
-// A data centre is cut off from the others and from the platform for a
-// minute. It must go on with its own engines and the rules it has, and follow
-// the set that was published meanwhile once it is back.
+// A data centre is cut off from the others and from the platform for a minute.
+// It must continue with its own engines and rules, and adopt the set published
+// meanwhile once it is reconnected.
 TEST_F(NodeFailureTest, CutDataCentreServesAndCatchesUp) {
   Start(Defaults());
   deployment_->CutDataCentre("south", true);
@@ -411,9 +412,9 @@
             "second");
 }
 
-// Two operators publish on the same base in the same moment. Every host must
-// end with the same one of the two.
-TEST_F(NodeFailureTest, RacingPublishersOneWins) {
+// Two operators publish on the same base at the same time. Every host must
+// adopt the same one.
+TEST_F(NodeFailureTest, OneOfRacingPublishersWins) {
   Start(Defaults());
   const LogOffset base =
       deployment_->node("entry-1").context().control.rules().version();
@@ -432,8 +433,8 @@
   }
 }
 
-// A host is replaced while the log is down. The new one has no disk; it must
-// get the rules in force from its peers and become ready.
+// A host is replaced while the log is down. The new one has no disk and must
+// get the rules in force from its peers.
 TEST_F(NodeFailureTest, NewHostGetsRulesFromPeersWhileLogIsDown) {
   Start(Defaults());
   deployment_->SetLogDown(true);
@@ -445,8 +446,8 @@
             deployment_->node("entry-1").context().control.rules().version());
 }
 
-// Days pass without a publication while the log keeps records for an hour. A
-// host that starts then must still find the set in force on the log.
+// No rules are published for longer than the log's retention. A host that
+// starts then must still find the set in force on the log.
 TEST_F(NodeFailureTest, RulesOutliveTheLogsRetention) {
   DeploymentSettings settings = Defaults();
   settings.data_centres = {"north", "south"};
@@ -466,9 +467,9 @@
             version);
 }
 
-// Half of the engines break every request. If each failure brought a retry
-// and each retry a failure, the healthy half would drown; retries must stay a
-// small share of what callers sent.
+// Half of the engines fail every request. If every failure were retried, the
+// healthy half would be overloaded; retries must stay a small share of the
+// requests.
 TEST_F(NodeFailureTest, HalfTheEnginesFailWithoutARetryStorm) {
   DeploymentSettings settings = Defaults();
   settings.engines = 8;
@@ -494,9 +495,8 @@
   EXPECT_LE(dispatched, sent + sent / 4);
 }
 
-// The engines break every second request. None of them fails often enough in
-// a row to be left alone, so only the budget keeps retries from doubling what
-// is sent.
+// The engines fail every second request, too few in a row to open a circuit
+// breaker, so only the retry budget bounds the retries.
 TEST_F(NodeFailureTest, FlakyEnginesDoNotDoubleTheLoad) {
   Start(Defaults());
   for (const char* host : {"entry-1", "entry-3"}) {
@@ -514,9 +514,8 @@
   EXPECT_LE(deployment_->dispatched() - before, 300u * 5 / 4);
 }
 
-// A host is drained while it has requests open, cold ones among them. None
-// may be cut, new ones are refused as not run, and its engines get a new
-// owner.
+// A host is drained with open requests, cold ones among them. None may be cut,
+// new ones are refused as not run, and its engines get a new owner.
 TEST_F(NodeFailureTest, DrainCutsNothingAndHandsOver) {
   Start(Defaults());
   const std::string owner = OwnerOf("north/0");
@@ -540,8 +539,8 @@
   EXPECT_EQ(OwnerOf("north/0"), OtherHost(owner));
 }
 
-// The platform is about to take an engine away. Two seconds after the host
-// list shows it, no new request may go there.
+// The host list shows an engine as leaving. Two seconds later no new request
+// may go there.
 TEST_F(NodeFailureTest, LeavingEngineGetsNoNewWork) {
   Start(Defaults());
   const uint64_t warm = deployment_->Send("entry-1", "model-1");
@@ -564,10 +563,10 @@
   }
 }
 
-// A third of all orders and answers to engines is lost, a third doubled, and
-// all of them up to three seconds late. Requests must still be served and no
-// engine filled beyond its memory.
-TEST_F(NodeFailureTest, OrdersLostDoubledAndLate) {
+// A third of all orders and answers to engines is lost, a third duplicated, and
+// all are up to three seconds late. Requests must still be served and no engine
+// filled beyond its memory.
+TEST_F(NodeFailureTest, LostDuplicatedAndLateOrders) {
   DeploymentSettings settings = Defaults();
   settings.engine_bytes = 1'500'000'000;
   Start(settings);
@@ -588,8 +587,8 @@
   EXPECT_GT(answered, 30);
 }
 
-// The same where engines obey any order, however old.
-TEST_F(NodeFailureTest, OrdersLostDoubledAndLateOnUnfencedEngines) {
+// The same with engines that accept any order, however old.
+TEST_F(NodeFailureTest, LostDuplicatedAndLateOrdersOnUnfencedEngines) {
   DeploymentSettings settings = Defaults();
   settings.engine_bytes = 1'500'000'000;
   settings.unfenced_engines = 4;
@@ -604,8 +603,8 @@
   deployment_->RunFor(seconds(60));
 }
 
-// An engine crashes with models loaded and comes back empty under the same
-// address. What it held is gone; the owner must notice and load anew.
+// An engine crashes with models loaded and restarts empty at the same address.
+// The owner must detect it and load again.
 TEST_F(NodeFailureTest, RestartedEngineIsAnotherIncarnation) {
   Start(Defaults());
   const uint64_t first = deployment_->Send("entry-1", "model-2");
@@ -622,8 +621,8 @@
   EXPECT_TRUE(IsAnswered(second)) << Reason(second);
 }
 
-// Every load fails. Those who wait are told so, with a time to come back, and
-// are not kept until their deadline.
+// Every load fails. Waiting requests are refused with a Retry-After instead of
+// being kept until their deadline.
 TEST_F(NodeFailureTest, FailedLoadsAreToldEarly) {
   Start(Defaults());
   deployment_->FailLoads(true);
@@ -635,9 +634,9 @@
   EXPECT_GT(deployment_->outcome(id).refusal.retry_after, Duration::zero());
 }
 
-// Three out of ten messages between hosts are lost. Demands, digests and
-// rules must come through all the same.
-TEST_F(NodeFailureTest, LossBetweenHostsDelaysOnly) {
+// 30% of the messages between hosts are lost. Demands, digests and rules must
+// still arrive.
+TEST_F(NodeFailureTest, PeerMessageLossOnlyDelays) {
   Start(Defaults());
   deployment_->SetPeerLoss(0.3);
   std::vector<uint64_t> requests;
@@ -649,9 +648,9 @@
   for (const uint64_t id : requests) EXPECT_TRUE(IsAnswered(id)) << Reason(id);
 }
 
-// One request ends each engine that begins to run it and is repeated at any
-// host. Each host counted for itself, so 12 engines had ended before the last
-// of four hosts kept it away. The log tells all of each end.
+// One request ends each engine that runs it and is repeated at any host. When
+// each host counted for itself, 12 engines ended before the last of four hosts
+// refused it; the log shares each end with all.
 TEST_F(NodeFailureTest, RequestThatEndsEnginesIsKnownAtAllHosts) {
   Start(Defaults());
   const std::vector<std::string> hosts = deployment_->HostNames();
@@ -665,7 +664,7 @@
                                      deployment_->poison_ends().end(),
                                      [&](TimePoint at) { return at > agreed; });
   EXPECT_LE(repeats, 3) << deployment_->poison_ends().size();
-  // A host that starts from a snapshot knows it as well.
+  // A host that starts from a snapshot refuses it as well.
   deployment_->KillHost(hosts[0]);
   deployment_->ReviveHost(hosts[0]);
   AwaitReady();
@@ -677,8 +676,8 @@
   EXPECT_TRUE(deployment_->broken_promises().empty());
 }
 
-// Guards against requests that are forgotten by a host that stood still past
-// their deadline.
+// Guards against requests that are never answered by a host that was paused
+// past their deadline.
 TEST_F(NodeFailureTest, RequestsOfAFrozenHostEndWhenItWakes) {
   Start(Defaults());
   const std::string host = "entry-1";
--- a/tests/node/node_test.cc
+++ b/tests/node/node_test.cc
@@ -62,10 +62,9 @@
   std::vector<Action> actions_;
 };
 
-// The first attempt never left this host and was repeated. Then a doubled,
-// late end of the first arrives while the second runs. It must change nothing:
-// taken for the second's, it would send the request a third time.
-TEST_F(NodeTest, LateEndOfAnEarlierAttemptChangesNothing) {
+// A duplicate, late end of the first attempt arrives while the second runs. If
+// it were taken for the second's end, the request would be sent a third time.
+TEST_F(NodeTest, LateEndOfEarlierAttemptIsIgnored) {
   RequestArrived request;
   request.handle = 7;
   request.request_id = "r";
@@ -103,8 +102,8 @@
   EXPECT_EQ(node_.Decisions("r")[0]["verdict"], "ran");
 }
 
-// The channel between threads may double or cross events of a request that
-// has ended; its handle means nobody then.
+// The channel between threads may duplicate or reorder events of ended
+// requests.
 TEST_F(NodeTest, EventsOfEndedRequestsAreIgnored) {
   Handle(AttemptStarted{99});
   Handle(CallerGone{99});
--- a/tests/node/test_rules.h
+++ b/tests/node/test_rules.h
@@ -6,8 +6,8 @@
 
 namespace applehall {
 
-// A rule set for tests: doors open once, "late-*" may wait, the rest is
-// ordinary.
+// A rule set for tests: doors may not be repeated, "late-*" has a long
+// deadline, the rest is ordinary.
 inline Json TestRules(const std::string& name = "test", int most_replicas = 1) {
   return Json{{"name", name},
               {"author", "tests"},
@@ -26,7 +26,7 @@
                    {"worth", 10}}}}}}};
 }
 
-// `count` models of half a gigabyte and one adapter for each of the first two.
+// `count` models of 500 MB and one adapter for each of the first two.
 inline Catalogue TestCatalogue(int count) {
   Catalogue catalogue;
   for (int i = 0; i < count; ++i) {
--- a/tests/routing/crash_ledger_test.cc
+++ b/tests/routing/crash_ledger_test.cc
@@ -13,7 +13,7 @@
 
 constexpr TimePoint kNow{std::chrono::hours(500000)};
 
-TEST(CrashLedgerTest, ThreeServersProveIt) {
+TEST(CrashLedgerTest, ThreeEndedServersProveCause) {
   CrashLedger ledger;
   EXPECT_EQ(ledger.Record({1, "s1", false, kNow}, kNow), Finding::kNothing);
   EXPECT_EQ(ledger.Record({1, "s1", false, kNow}, kNow), Finding::kNothing)
@@ -22,9 +22,9 @@
   EXPECT_EQ(ledger.Record({1, "s3", false, kNow}, kNow), Finding::kProven);
 }
 
-// A single server is left, and starts again under its name. Counted by names,
-// it would end for ever.
-TEST(CrashLedgerTest, ServerThatKeepsItsNameCountsForEachEnd) {
+// The only server left restarts under its name. If ends were counted by name,
+// it would keep ending without proof.
+TEST(CrashLedgerTest, ServerWithSameNameCountsForEachEnd) {
   CrashLedger ledger;
   EXPECT_EQ(ledger.Record({1, "s", false, kNow}, kNow), Finding::kNothing);
   // Another host saw the same end.
@@ -34,12 +34,12 @@
   const TimePoint second = kNow + seconds(4);
   EXPECT_EQ(ledger.Record({1, "s", false, second}, second), Finding::kSuspect);
   const TimePoint third = kNow + seconds(8);
-  // Told late, as by a host that was cut off.
+  // Reported late, as by a host that was cut off.
   EXPECT_EQ(ledger.Record({1, "s", false, second}, third), Finding::kSuspect);
   EXPECT_EQ(ledger.Record({1, "s", false, third}, third), Finding::kProven);
 }
 
-TEST(CrashLedgerTest, LateAnswersNeedOneMore) {
+TEST(CrashLedgerTest, LateEndsNeedOneMore) {
   CrashLedger ledger;
   ledger.Record({1, "s1", true, kNow}, kNow);
   ledger.Record({1, "s2", true, kNow}, kNow);
@@ -47,7 +47,7 @@
   EXPECT_EQ(ledger.Record({1, "s4", true, kNow}, kNow), Finding::kProven);
 }
 
-TEST(CrashLedgerTest, WholeAnswerClears) {
+TEST(CrashLedgerTest, CompleteAnswerClearsSuspect) {
   CrashLedger ledger;
   ledger.Record({1, "s1", false, kNow}, kNow);
   ledger.Record({1, "s2", false, kNow}, kNow);
@@ -57,7 +57,7 @@
   EXPECT_EQ(ledger.Record({1, "s3", false, kNow}, kNow), Finding::kNothing);
 }
 
-TEST(CrashLedgerTest, EndsLongAgoAreForgotten) {
+TEST(CrashLedgerTest, OldEndsExpire) {
   CrashLedger ledger;
   ledger.Record({1, "s1", false, kNow}, kNow);
   ledger.Record({1, "s2", false, kNow}, kNow);
@@ -66,9 +66,9 @@
       Finding::kNothing);
 }
 
-// Two requests were at the same servers. Once one is proven, what hosts still
-// report of these servers speaks against no other.
-TEST(CrashLedgerTest, ExplainedEndsCountAgainstNobodyElse) {
+// Two requests ran at the same servers. Once one is proven, further reports of
+// these ends must not count against the other.
+TEST(CrashLedgerTest, ExplainedEndsDoNotCountAgainstOthers) {
   CrashLedger ledger;
   for (const char* server : {"s1", "s2", "s3"}) {
     ledger.Record({1, server, false, kNow}, kNow);
@@ -81,9 +81,9 @@
   }
 }
 
-// Hundreds of servers end in one moment, with thousands of requests: what was
-// suspected before is remembered, what ended once gives way.
-TEST(CrashLedgerTest, IsBoundedAndKeepsWhatIsSuspected) {
+// Thousands of requests are recorded when many servers end at once: suspects
+// must be kept and requests with a single end evicted.
+TEST(CrashLedgerTest, SizeIsBoundedAndSuspectsAreKept) {
   CrashLedger ledger;
   ledger.Record({1, "s1", false, kNow}, kNow);
   ledger.Record({1, "s2", false, kNow}, kNow);
@@ -96,7 +96,7 @@
       Finding::kProven);
 }
 
-TEST(QuarantineTableTest, HoldsUntilItsTimeAndIsBounded) {
+TEST(QuarantineTableTest, HoldsUntilExpiryAndIsBounded) {
   Quarantine quarantine;
   EXPECT_TRUE(quarantine.Add(1, kNow + seconds(5)));
   EXPECT_FALSE(quarantine.Add(1, kNow + seconds(4))) << "nothing new";
--- a/tests/routing/engine_view_test.cc
+++ b/tests/routing/engine_view_test.cc
@@ -25,9 +25,9 @@
   return digest;
 }
 
-// Twenty routers hold the same reports, and one engine looked idle in them.
-// Sent there by all of them at once, it would drown until the next report.
-TEST(EngineViewTest, NoHerdOnTheEngineThatLastLookedIdle) {
+// Twenty routers have the same reports, in which one engine is idle. If all of
+// them chose it, it would be overloaded until the next report.
+TEST(EngineViewTest, RoutersDoNotHerdToIdleEngine) {
   std::map<std::string, int> sent;
   for (uint64_t router = 0; router < 20; ++router) {
     EngineView view(router + 1);
@@ -55,7 +55,7 @@
   EXPECT_NE(view.Choose("m", prefix, kNow)->engine, first);
 }
 
-// Digests of the former owner arrive after the new one's.
+// Digests of the former owner arrive after those of the new one.
 TEST(EngineViewTest, LaterOwnersDigestWins) {
   EngineView view(1);
   EngineDigest later = Digest(0, 2, 1);
@@ -66,9 +66,9 @@
   EXPECT_EQ(view.Choose("m", 0, kNow), nullptr);
 }
 
-// A peer sends only loads once it has sent the rest. A host that missed the
-// rest must not take a load for it.
-TEST(EngineViewTest, LoadAloneNeedsTheRestItBelongsTo) {
+// A peer sends load-only digests after a whole one. A host that missed the
+// whole digest must not apply them.
+TEST(EngineViewTest, LoadOnlyDigestNeedsItsBase) {
   EngineView view(1);
   EngineDigest load = Digest(0, 9, 5);
   load.base_sequence = 4;
@@ -85,7 +85,7 @@
   EXPECT_FALSE(view.MergeLoad(load, kNow)) << "another base";
 }
 
-TEST(EngineViewTest, FailingEngineIsLeftAloneAndTriedAgain) {
+TEST(EngineViewTest, FailingEngineIsSkippedAndTriedAgain) {
   EngineView view(1);
   view.Merge(Digest(0, 0), kNow);
   for (int i = 0; i < 3; ++i) {
@@ -126,7 +126,8 @@
   EXPECT_NE(view.Choose("m", 0, preference, kNow), nullptr);
 }
 
-// Nobody may take it, but not for its load: to wait is right then.
+// The engine is unavailable because it fails, not because of its load, so
+// requests should wait.
 TEST(EngineViewTest, FailingEngineIsNotSaturated) {
   EngineView view(1);
   view.Merge(Digest(0, 0), kNow);
@@ -151,9 +152,9 @@
   EXPECT_GE(retries, 100);
 }
 
-// All engines of a service turn everything away for ten seconds. Each of 72
-// hosts had saved ten retries and spent them at once: 720 where all together
-// may make 184 beside a fifth of the requests.
+// All engines of a service refuse everything for ten seconds. With a full
+// budget each, 72 hosts would spend 720 retries at once, where all together may
+// make 184 and a fifth of the requests.
 TEST(RetryBudgetTest, ManyHostsTogetherStayWithinTheBound) {
   constexpr int kHosts = 72;
   constexpr int kSlack = 184;
