--- a/admission/host_presence.h
+++ b/admission/host_presence.h
@@ -10,11 +10,11 @@
 
 // Maximum age of the owner's shares before a host falls back to its own part:
 // twice the longest interval between the owner's plans.
-inline constexpr Duration kOwnerTrust = std::chrono::milliseconds(1000);
+inline constexpr Duration kOwnerContactTtl = std::chrono::milliseconds(1000);
 // Fleet size that a host assumes before it has received one. If all hosts of a
 // fleet restart at once, each limits itself to one part of this many; otherwise
 // a team or server at its bound would get the bound a second time.
-inline constexpr int kAssumedHosts = 100;
+inline constexpr int kDefaultHostCount = 100;
 
 // Tracks which hosts may be using their part of a shared bound without contact
 // to the owner: hosts that have become unreachable, and hosts that the previous
--- a/admission/permit_gate.h
+++ b/admission/permit_gate.h
@@ -23,8 +23,8 @@
   // A host's credit accrues in fractions of a request, too slowly to ever wait
   // for a whole one. Each request uses the accrued credit as its probability of
   // being sent, so that all hosts together send the sum of their fractions.
-  bool TryAlone(const std::string& server, double per_second, int hosts,
-                double draw, TimePoint now);
+  bool TrySendIsolated(const std::string& server, double per_second, int hosts,
+                       double draw, TimePoint now);
   // Removes a server that is gone or no longer limited.
   void Forget(const std::string& server);
 
--- a/admission/permit_ledger.cc
+++ b/admission/permit_ledger.cc
@@ -23,7 +23,7 @@
   const int known = std::max(1, presence_.CountKnown(now));
   const int absent =
       presence_.CountUnreachable(now) + presence_.CountMissing(now);
-  return 1 - kAloneShare * std::min(absent, known) / known;
+  return 1 - kIsolatedShare * std::min(absent, known) / known;
 }
 
 void PermitLedger::Fill(Server& server, TimePoint now) {
@@ -53,7 +53,7 @@
   presence_.RecordContact(host, now);
 }
 
-void PermitLedger::Ask(const PermitAsk& ask, TimePoint now) {
+void PermitLedger::Ask(const HostPermitRequest& ask, TimePoint now) {
   NoteHost(ask.host, now);
   const auto it = servers_.find(ask.server);
   if (it == servers_.end()) {
--- a/admission/permit_ledger.h
+++ b/admission/permit_ledger.h
@@ -15,7 +15,7 @@
 
 // Share of a server's limit that isolated hosts use together. It is below one
 // because each host decides at random and their sum varies.
-inline constexpr double kAloneShare = 0.5;
+inline constexpr double kIsolatedShare = 0.5;
 // Requests per second to a server whose limit is zero; without them a raised
 // limit would go unnoticed.
 inline constexpr double kTrialRate = 0.1;
@@ -26,7 +26,7 @@
 }
 
 // A host's request for a permit to send one request to a limited server.
-struct PermitAsk {
+struct HostPermitRequest {
   std::string host;
   uint64_t id = 0;  // Chosen by the host.
   std::string server;
@@ -63,7 +63,7 @@
   // Records contact of a host, which therefore does not use its own part.
   void NoteHost(const std::string& host, TimePoint now);
   // Answered at once or by a later Serve(); see TakeAnswers().
-  void Ask(const PermitAsk& ask, TimePoint now);
+  void Ask(const HostPermitRequest& ask, TimePoint now);
   // Grants available permits and refuses requests that can no longer be served
   // in time.
   void Serve(TimePoint now);
@@ -75,7 +75,7 @@
 
  private:
   struct Waiting {
-    PermitAsk ask;
+    HostPermitRequest ask;
     TimePoint asked_at;
     TimePoint expires_at;
   };
--- a/admission/quota_gate.cc
+++ b/admission/quota_gate.cc
@@ -42,20 +42,20 @@
   at = now;
 }
 
-bool QuotaGate::IsTold(TimePoint now) const {
+bool QuotaGate::HasFreshShares(TimePoint now) const {
   return split_ == QuotaSplit::kByDemand && shares_at_ != TimePoint{} &&
-         now - shares_at_ < kOwnerTrust;
+         now - shares_at_ < kOwnerContactTtl;
 }
 
 QuotaGate::QuotaGate(QuotaTolerance tolerance, QuotaSplit split)
-    : tolerance_(tolerance), split_(split), hosts_(kAssumedHosts) {}
+    : tolerance_(tolerance), split_(split), hosts_(kDefaultHostCount) {}
 
 bool QuotaGate::HasFreshCentreShares(TimePoint now) const {
   return split_ == QuotaSplit::kByDemand && centre_shares_at_ != TimePoint{} &&
-         now - centre_shares_at_ < kOwnerTrust;
+         now - centre_shares_at_ < kOwnerContactTtl;
 }
 
-void QuotaGate::TakeCentreShares(const QuotaShares& shares, TimePoint now) {
+void QuotaGate::ApplyCentreShares(const QuotaShares& shares, TimePoint now) {
   centre_shares_at_ = now;
   for (auto& [name, state] : teams_) {
     const auto entry = shares.find(name);
@@ -63,8 +63,8 @@
   }
 }
 
-void QuotaGate::TakeShares(const QuotaShares& shares, int hosts,
-                           TimePoint now) {
+void QuotaGate::ApplyShares(const QuotaShares& shares, int hosts,
+                            TimePoint now) {
   shares_at_ = now;
   hosts_ = std::max(1, hosts);
   for (auto& [name, state] : teams_) {
@@ -104,7 +104,7 @@
   state.usual.Add(cost, kUsualSpan, now);
   Fill(team.quota, state, now);
   QuotaDecision decision;
-  if (IsTold(now)) {
+  if (HasFreshShares(now)) {
     decision = DecideByShare(state.owner_share.share, draw);
   } else if (HasFreshCentreShares(now)) {
     decision = DecideByShare(state.centre_share, draw);
@@ -112,7 +112,7 @@
   } else {
     decision = DecideByPart(state);
   }
-  if (shares_at_ != TimePoint{}) decision.told_ago = now - shares_at_;
+  if (shares_at_ != TimePoint{}) decision.shares_age = now - shares_at_;
   if (decision.is_admitted) {
     state.admitted += cost;
     state.bucket.level -= cost;
--- a/admission/quota_gate.h
+++ b/admission/quota_gate.h
@@ -43,8 +43,8 @@
 struct QuotaDecision {
   bool is_admitted = true;
   QuotaMode mode = QuotaMode::kUnlimited;
-  double share = 1;      // Share of the requests or of the quota that decided.
-  Duration told_ago{0};  // Age of the owner's shares.
+  double share = 1;  // Share of the requests or of the quota that decided.
+  Duration shares_age{0};   // Age of the owner's shares.
   Duration retry_after{0};  // When to try again; zero if admitted.
 };
 
@@ -62,12 +62,12 @@
 
   // Applies the owner's shares, which are sent to `hosts` hosts. Not
   // thread-safe.
-  void TakeShares(const QuotaShares& shares, int hosts, TimePoint now);
+  void ApplyShares(const QuotaShares& shares, int hosts, TimePoint now);
   // Applies the shares of a host that stands in for the owner in this data
   // centre. Not thread-safe.
-  void TakeCentreShares(const QuotaShares& shares, TimePoint now);
+  void ApplyCentreShares(const QuotaShares& shares, TimePoint now);
   // Returns whether the owner's shares are fresh. Not thread-safe.
-  bool IsTold(TimePoint now) const;
+  bool HasFreshShares(TimePoint now) const;
   // Decides on a request of the given cost; `draw` is uniform from 0 to 1. Not
   // thread-safe.
   QuotaDecision Ask(const Team& team, double cost, double draw, TimePoint now);
--- a/admission/quota_ledger.h
+++ b/admission/quota_ledger.h
@@ -42,8 +42,8 @@
   void SetTeams(std::shared_ptr<const TeamBook> teams, TimePoint now);
   // Applies a host's cumulative usage; counts of another incarnation start at
   // zero. Not thread-safe.
-  void TakeUsage(const std::string& host, const std::string& data_centre,
-                 uint64_t incarnation, const QuotaUsage& usage, TimePoint now);
+  void ApplyUsage(const std::string& host, const std::string& data_centre,
+                  uint64_t incarnation, const QuotaUsage& usage, TimePoint now);
   // Computes the share of each limited team that has demand; empty until teams
   // are set and hosts have reported. Not thread-safe.
   QuotaShares Shares(TimePoint now);
--- a/node/fleet_keeper.cc
+++ b/node/fleet_keeper.cc
@@ -690,7 +690,7 @@
   quarantine_.RunTick(planner_ != nullptr, lease_.HeardWithin(kPlanLife));
   quotas_.RunTick(reader_);
   limits_.RunTick(lease_.Owner(), lease_.NewestOwner().token,
-                  lease_.HeardWithin(kOwnerTrust));
+                  lease_.HeardWithin(kOwnerContactTtl));
   if (planner_) {
     const bool has_news = HasNewWaiting();
     if (has_news || context_.now - reported_at_ >= kBeatInterval) {
--- a/node/limit_keeper.cc
+++ b/node/limit_keeper.cc
@@ -28,18 +28,18 @@
 constexpr char kAnswers[] = "g";
 
 // ID, server, caller, worth, is background, patience in ms.
-Json AskRow(const PermitAsk& ask) {
+Json AskRow(const HostPermitRequest& ask) {
   return Json::array({ask.id, ask.server, ask.caller, ask.worth,
                       ask.is_background, ToMillis(ask.patience)});
 }
 
-std::optional<PermitAsk> ReadAsk(const Json& row) {
+std::optional<HostPermitRequest> ReadAsk(const Json& row) {
   const bool is_ask = row.is_array() && row.size() == 6 &&
                       row[0].is_number_unsigned() && row[1].is_string() &&
                       row[2].is_string() && row[3].is_number() &&
                       row[4].is_boolean() && row[5].is_number_integer();
   if (!is_ask) return std::nullopt;
-  PermitAsk ask;
+  HostPermitRequest ask;
   ask.id = row[0].get<uint64_t>();
   ask.server = row[1].get<std::string>();
   ask.caller = row[2].get<std::string>();
@@ -132,16 +132,16 @@
                                          const PermitRequest& wanted) {
   if (gate_.TakeSpare(server, context_.now)) return Permit::kGranted;
   if (!ledger_ && !is_owner_heard_) {
-    const int hosts = told_hosts_ > 0 ? told_hosts_ : kAssumedHosts;
+    const int hosts = told_hosts_ > 0 ? told_hosts_ : kDefaultHostCount;
     const bool is_taken =
-        gate_.TryAlone(server, book_.Find(server).value_or(0), hosts,
-                       context_.random.Unit(), context_.now);
+        gate_.TrySendIsolated(server, book_.Find(server).value_or(0), hosts,
+                              context_.random.Unit(), context_.now);
     context_.metrics.Count(is_taken ? "server_limit_alone_total"
                                     : "server_limit_alone_held_total");
     return is_taken ? Permit::kGranted : Permit::kDenied;
   }
   if (asks_.size() >= kMostOpenAsks) return Permit::kDenied;
-  PermitAsk ask;
+  HostPermitRequest ask;
   ask.host = context_.settings.self.host;
   ask.id = ++last_ask_;
   ask.server = server;
@@ -181,7 +181,7 @@
   if (!ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   askers_[host] = FieldOr<std::string>(body, kAddress, "");
   for (const Json& row : body.value(kAsks, Json::array())) {
-    std::optional<PermitAsk> ask = ReadAsk(row);
+    std::optional<HostPermitRequest> ask = ReadAsk(row);
     if (!ask) continue;
     ask->host = host;
     ledger_->Ask(*ask, context_.now);
--- a/node/node.h
+++ b/node/node.h
@@ -55,10 +55,10 @@
   const StoreRelay& relay() const { return relay_; }
 
  private:
-  void On(const RequestArrived& event) { flow_.Arrive(event); }
-  void On(const CallerGone& event) { flow_.CallerLeft(event); }
-  void On(const AttemptStarted& event) { flow_.Started(event); }
-  void On(const AttemptEnded& event) { flow_.Ended(event); }
+  void On(const RequestArrived& event) { flow_.HandleArrival(event); }
+  void On(const CallerGone& event) { flow_.HandleCallerGone(event); }
+  void On(const AttemptStarted& event) { flow_.HandleAttemptStarted(event); }
+  void On(const AttemptEnded& event) { flow_.HandleAttemptEnded(event); }
   void On(const ServerProbed& event) { flow_.TakeProbe(event); }
   void On(const EngineAnswered& event);
   void On(const LogRead& event);
--- a/node/quarantine_keeper.cc
+++ b/node/quarantine_keeper.cc
@@ -130,7 +130,7 @@
       break;
   }
   unrecorded_.insert(end.fingerprint);
-  const TimePoint until = context_.now + kQuarantineLife;
+  const TimePoint until = context_.now + kQuarantineTtl;
   Add(end.fingerprint, until,
       absl::StrCat("server ", end.server, " seen by ", host));
   if (is_owner_) return;
@@ -143,11 +143,11 @@
 void QuarantineKeeper::Add(uint64_t fingerprint, TimePoint until,
                            const std::string& source) {
   // Hosts' clocks differ; none may hold a content for longer than the rest.
-  const TimePoint latest = context_.now + kQuarantineLife;
+  const TimePoint latest = context_.now + kQuarantineTtl;
   const bool was_held = Holds(fingerprint);
   if (!quarantine_.Add(fingerprint, std::min(until, latest))) return;
   if (was_held) return;
-  ledger_.Convict(fingerprint, context_.now);
+  ledger_.MarkProven(fingerprint, context_.now);
   suspects_.erase(fingerprint);
   unreleased_.erase(fingerprint);
   added_.push_back(fingerprint);
@@ -223,7 +223,7 @@
   // one.
   std::erase_if(told_, [this](const auto& item) {
     const Duration life =
-        item.second.was_quarantined ? kQuarantineLife : kSuspectLife;
+        item.second.was_quarantined ? kQuarantineTtl : kSuspectLife;
     return !Holds(item.first) && context_.now - item.second.at > life;
   });
 }
--- a/node/quota_keeper.cc
+++ b/node/quota_keeper.cc
@@ -99,7 +99,7 @@
       absl::StrFormat("the quota of team %s is used up (%s, share %.3f, told "
                       "%d ms ago, cost %.0f, version %d)",
                       team.name, QuotaModeName(decision.mode), decision.share,
-                      ToMillis(decision.told_ago), cost,
+                      ToMillis(decision.shares_age), cost,
                       context_.control.rules().version()),
       decision.retry_after};
 }
@@ -127,7 +127,7 @@
 void QuotaKeeper::TakeReport(const std::string& host,
                              const std::string& data_centre, const Json& rows) {
   if (!ledger_) return;
-  ledger_->TakeUsage(
+  ledger_->ApplyUsage(
       host, data_centre, FieldOr<uint64_t>(rows, kIncarnation, 0),
       UsageFrom(rows.value(kTeams, Json::object())), context_.now);
 }
@@ -136,7 +136,7 @@
   if (!HasQuotas()) return;
   if (ledger_) {
     RunOwner();
-  } else if (gate_.IsTold(context_.now)) {
+  } else if (gate_.HasFreshShares(context_.now)) {
     centre_ledger_.reset();
   } else {
     RunCentre(reader);
@@ -146,9 +146,9 @@
 QuotaShares QuotaKeeper::Decide(QuotaLedger& ledger,
                                 std::shared_ptr<const TeamBook> teams) {
   ledger.SetTeams(std::move(teams), context_.now);
-  ledger.TakeUsage(context_.settings.self.host, context_.settings.data_centre,
-                   context_.settings.self.number, gate_.Usage(context_.now),
-                   context_.now);
+  ledger.ApplyUsage(context_.settings.self.host, context_.settings.data_centre,
+                    context_.settings.self.number, gate_.Usage(context_.now),
+                    context_.now);
   return ledger.Shares(context_.now);
 }
 
@@ -160,7 +160,7 @@
   LogThrottled(shares);
   shares_ = std::move(shares);
   told_hosts_ = ledger_->KnownHosts(context_.now);
-  gate_.TakeShares(shares_, told_hosts_, context_.now);
+  gate_.ApplyShares(shares_, told_hosts_, context_.now);
   const auto parts = ledger_->parts().find(context_.settings.data_centre);
   if (parts != ledger_->parts().end()) centre_parts_ = parts->second;
 }
@@ -195,7 +195,7 @@
   QuotaShares shares = Decide(*centre_ledger_, CentreTeams());
   if (!centre_ledger_->IsReady(context_.now)) return;
   centre_shares_ = std::move(shares);
-  gate_.TakeCentreShares(centre_shares_, context_.now);
+  gate_.ApplyCentreShares(centre_shares_, context_.now);
 }
 
 // The teams with their quotas cut down to this data centre's part.
@@ -216,13 +216,13 @@
 void QuotaKeeper::TakeCentreUsage(const std::string& host, const Json& body) {
   if (!HasQuotas()) return;
   if (centre_ledger_) {
-    centre_ledger_->TakeUsage(host, context_.settings.data_centre,
-                              FieldOr<uint64_t>(body, kIncarnation, 0),
-                              UsageFrom(body.value(kTeams, Json::object())),
-                              context_.now);
+    centre_ledger_->ApplyUsage(host, context_.settings.data_centre,
+                               FieldOr<uint64_t>(body, kIncarnation, 0),
+                               UsageFrom(body.value(kTeams, Json::object())),
+                               context_.now);
   }
   // Here the owner may still be heard: its share is right for the host as well.
-  const bool is_told = gate_.IsTold(context_.now);
+  const bool is_told = gate_.HasFreshShares(context_.now);
   const bool is_standing_in =
       centre_ledger_ && centre_ledger_->IsReady(context_.now);
   if (!is_told && !is_standing_in) return;
@@ -234,8 +234,8 @@
 }
 
 void QuotaKeeper::TakeCentreWord(const Json& body) {
-  gate_.TakeCentreShares(SharesFrom(body.value(kTeams, Json::object())),
-                         context_.now);
+  gate_.ApplyCentreShares(SharesFrom(body.value(kTeams, Json::object())),
+                          context_.now);
 }
 
 Json QuotaKeeper::PlanRows(const std::string& data_centre) const {
@@ -265,7 +265,7 @@
 void QuotaKeeper::TakePlan(const Json& rows) {
   shares_ = SharesFrom(rows.value(kTeams, Json::object()));
   told_hosts_ = std::max(1, FieldOr<int>(rows, kHosts, 1));
-  gate_.TakeShares(shares_, told_hosts_, context_.now);
+  gate_.ApplyShares(shares_, told_hosts_, context_.now);
   centre_parts_ = PartsFrom(rows.value(kParts, Json::object()));
 }
 
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -129,7 +129,7 @@
          (!context_.control.rules().current() || !fleet_.is_known());
 }
 
-void RequestFlow::Arrive(const RequestArrived& event) {
+void RequestFlow::HandleArrival(const RequestArrived& event) {
   if (IsStartingUp() && early_.TryHold(event)) return;
   Admit(event, context_.now);
 }
@@ -487,7 +487,7 @@
 
 // ---- Ends ----
 
-void RequestFlow::Started(const AttemptStarted& event) {
+void RequestFlow::HandleAttemptStarted(const AttemptStarted& event) {
   Request* request = Find(event.handle);
   if (request == nullptr) return;
   if (!request->has_started) request->started_at = context_.now;
@@ -497,7 +497,7 @@
   request->has_started = true;
 }
 
-void RequestFlow::Ended(const AttemptEnded& event) {
+void RequestFlow::HandleAttemptEnded(const AttemptEnded& event) {
   Request* request = Find(event.handle);
   // Ignores the end of an attempt that is no longer the current one.
   if (request == nullptr || request->phase != Phase::kSent ||
@@ -738,7 +738,7 @@
   log_.LogRefusal(event, rule, refusal);
 }
 
-void RequestFlow::CallerLeft(const CallerGone& event) {
+void RequestFlow::HandleCallerGone(const CallerGone& event) {
   if (early_.CancelHeld(event.handle)) return;
   Request* request = Find(event.handle);
   if (request == nullptr) return;
@@ -800,12 +800,12 @@
 
 // ---- Claims ----
 
-void RequestFlow::TakeClaims(const LogBatch& batch) {
+void RequestFlow::HandleClaims(const LogBatch& batch) {
   claims_.Apply(batch, context_.now);
   RunClaims();
 }
 
-void RequestFlow::ClaimAppendFailed(const std::string& record_id) {
+void RequestFlow::HandleClaimAppendFailed(const std::string& record_id) {
   claims_.AppendFailed(record_id, context_.now);
 }
 
@@ -896,7 +896,7 @@
   state.demanded_at = context_.now;
   const std::optional<DemandAnswer> answer = groups_.TakeDemand(group, demand);
   if (answer) {
-    TakeDemandAnswer(*answer);
+    HandleDemandAnswer(*answer);
     return;
   }
   const std::string owner = groups_.OwnerOf(group);
@@ -910,7 +910,7 @@
                      {"background", demand.is_background}});
 }
 
-void RequestFlow::TakeDemandAnswer(const DemandAnswer& answer) {
+void RequestFlow::HandleDemandAnswer(const DemandAnswer& answer) {
   const auto it = targets_.find(answer.target);
   if (it == targets_.end()) return;
   TargetState& state = it->second;
--- a/node/request_flow.h
+++ b/node/request_flow.h
@@ -36,20 +36,20 @@
 
   // Handle events of one request, which may arrive late, duplicated or after
   // its end. Not thread-safe.
-  void Arrive(const RequestArrived& event);
-  void CallerLeft(const CallerGone& event);
-  void Started(const AttemptStarted& event);
-  void Ended(const AttemptEnded& event);
+  void HandleArrival(const RequestArrived& event);
+  void HandleCallerGone(const CallerGone& event);
+  void HandleAttemptStarted(const AttemptStarted& event);
+  void HandleAttemptEnded(const AttemptEnded& event);
   // Handles the result of a probe for whether a server that cut requests is
   // still there. Not thread-safe.
   void TakeProbe(const ServerProbed& probed);
 
   // Handle a batch of the claims stream and a failed append to it. Not
   // thread-safe.
-  void TakeClaims(const LogBatch& batch);
-  void ClaimAppendFailed(const std::string& record_id);
+  void HandleClaims(const LogBatch& batch);
+  void HandleClaimAppendFailed(const std::string& record_id);
   // Handles an owner's answer to a demand. Not thread-safe.
-  void TakeDemandAnswer(const DemandAnswer& answer);
+  void HandleDemandAnswer(const DemandAnswer& answer);
   // Runs deadlines, backoffs, claims and demands, and dispatches to free
   // capacity. Not thread-safe.
   void RunTick();
--- a/routing/crash_ledger.h
+++ b/routing/crash_ledger.h
@@ -13,7 +13,7 @@
 
 // Ends further apart than this are not attributed to the same request: servers
 // also end now and then from other faults.
-inline constexpr Duration kSuspicionLife = std::chrono::minutes(10);
+inline constexpr Duration kSuspicionTtl = std::chrono::minutes(10);
 
 // One end (crash) of a backend server while a request was under way.
 struct ServerEnd {
@@ -42,7 +42,7 @@
   // Records that a request was proven to be the cause, here or at another host:
   // ends that it explains no longer count against other requests. Not
   // thread-safe.
-  void Convict(uint64_t fingerprint, TimePoint now);
+  void MarkProven(uint64_t fingerprint, TimePoint now);
   // Returns whether more than one end is recorded for the request. Not
   // thread-safe.
   bool IsSuspect(uint64_t fingerprint) const;
--- a/routing/quarantine.h
+++ b/routing/quarantine.h
@@ -12,7 +12,7 @@
 
 // After this time servers may have been fixed and the request is tried again;
 // one that still ends servers costs three servers an hour.
-inline constexpr Duration kQuarantineLife = std::chrono::minutes(60);
+inline constexpr Duration kQuarantineTtl = std::chrono::minutes(60);
 
 // Fingerprints of request contents that are not sent to any server until a
 // given time.
--- a/tests/node/node_failure_test.cc
+++ b/tests/node/node_failure_test.cc
@@ -126,7 +126,7 @@
 // The engines are filled exactly with idle models. A request for another model
 // waited until its deadline, because an engine without any free memory was
 // never evicted from.
-TEST_F(NodeFailureTest, FullEnginesMakeRoom) {
+TEST_F(NodeFailureTest, FullEnginesEvictIdleModels) {
   DeploymentSettings settings = Defaults();
   settings.engines = 2;
   settings.engine_bytes = 1'400'000'000;  // Two models and the KV cache.
@@ -261,7 +261,7 @@
 // The owner is killed while the one engine that holds a model is unreachable.
 // Its successor does not know what that engine holds; loading the model
 // elsewhere would exceed the rule's one replica.
-TEST_F(NodeFailureTest, SilentEngineMayHoldTheModel) {
+TEST_F(NodeFailureTest, UnreachableEngineMayHoldModel) {
   Start(Defaults());
   const std::string owner = OwnerOf("north/0");
   const std::string other = OtherHost(owner);
@@ -623,7 +623,7 @@
 
 // Every load fails. Waiting requests are refused with a Retry-After instead of
 // being kept until their deadline.
-TEST_F(NodeFailureTest, FailedLoadsAreToldEarly) {
+TEST_F(NodeFailureTest, FailedLoadsAreRefusedEarly) {
   Start(Defaults());
   deployment_->FailLoads(true);
   const uint64_t id =
@@ -651,7 +651,7 @@
 // One request ends each engine that runs it and is repeated at any host. When
 // each host counted for itself, 12 engines ended before the last of four hosts
 // refused it; the log shares each end with all.
-TEST_F(NodeFailureTest, RequestThatEndsEnginesIsKnownAtAllHosts) {
+TEST_F(NodeFailureTest, PoisonRequestIsQuarantinedAtAllHosts) {
   Start(Defaults());
   const std::vector<std::string> hosts = deployment_->HostNames();
   for (int i = 0; i < 60; ++i) {
@@ -678,7 +678,7 @@
 
 // Guards against requests that are never answered by a host that was paused
 // past their deadline.
-TEST_F(NodeFailureTest, RequestsOfAFrozenHostEndWhenItWakes) {
+TEST_F(NodeFailureTest, RequestsOfPausedHostEndOnResume) {
   Start(Defaults());
   const std::string host = "entry-1";
   const uint64_t before = deployment_->Send(host, "model-0", "web",
