--- a/admission/permit_ledger.cc
+++ b/admission/permit_ledger.cc
@@ -42,8 +42,8 @@
 void PermitLedger::Lift(const std::string& server, TimePoint now) {
   const auto it = servers_.find(server);
   if (it == servers_.end()) return;
-  while (!it->second.asks.empty()) {
-    Answer(it->second, it->second.asks.begin()->first, true, now);
+  while (!it->second.requests.empty()) {
+    Answer(it->second, it->second.requests.begin()->first, true, now);
   }
   servers_.erase(it);
 }
@@ -53,23 +53,24 @@
   presence_.RecordContact(host, now);
 }
 
-void PermitLedger::Ask(const HostPermitRequest& ask, TimePoint now) {
-  NoteHost(ask.host, now);
-  const auto it = servers_.find(ask.server);
+void PermitLedger::Ask(const HostPermitRequest& request, TimePoint now) {
+  NoteHost(request.host, now);
+  const auto it = servers_.find(request.server);
   if (it == servers_.end()) {
     // The limit was lifted and the host has not received the update yet.
-    answers_.push_back({ask.host, ask.id, ask.server, true, {}, {}});
+    answers_.push_back(
+        {request.host, request.id, request.server, true, {}, {}});
     return;
   }
   Server& server = it->second;
   const RequestHandle handle = ++last_handle_;
-  server.asks[handle] = {ask, now, now + ask.patience};
+  server.requests[handle] = {request, now, now + request.patience};
   WaitingRequest waiting;
   waiting.handle = handle;
-  waiting.caller = ask.caller;
-  waiting.deadline = now + ask.patience;
-  waiting.worth = ask.worth;
-  waiting.is_background = ask.is_background;
+  waiting.caller = request.caller;
+  waiting.deadline = now + request.patience;
+  waiting.worth = request.worth;
+  waiting.is_background = request.is_background;
   const std::optional<RequestHandle> displaced =
       server.queue.Add(waiting, kMaxWaiting);
   if (displaced) Answer(server, *displaced, false, now);
@@ -85,20 +86,20 @@
 
 void PermitLedger::Answer(Server& server, RequestHandle handle, bool is_granted,
                           TimePoint now) {
-  const auto it = server.asks.find(handle);
-  if (it == server.asks.end()) return;
+  const auto it = server.requests.find(handle);
+  if (it == server.requests.end()) return;
   server.queue.Remove(handle);
   const Waiting& waiting = it->second;
-  PermitAnswer answer{waiting.ask.host,       waiting.ask.id,
-                      waiting.ask.server,     is_granted,
-                      now - waiting.asked_at, Duration{0}};
+  PermitAnswer answer{waiting.request.host,      waiting.request.id,
+                      waiting.request.server,    is_granted,
+                      now - waiting.enqueued_at, Duration{0}};
   if (is_granted) {
     server.bucket.level -= 1;
   } else {
     answer.retry_after = TimeUntilTurn(server, server.queue.size() + 1, now);
   }
   answers_.push_back(std::move(answer));
-  server.asks.erase(it);
+  server.requests.erase(it);
 }
 
 void PermitLedger::ServeServer(Server& server, TimePoint now) {
@@ -113,11 +114,11 @@
   while (const std::optional<RequestHandle> worst = server.queue.Worst()) {
     const TimePoint turn =
         now + TimeUntilTurn(server, server.queue.size(), now);
-    if (turn <= server.asks.at(*worst).expires_at) break;
+    if (turn <= server.requests.at(*worst).expires_at) break;
     Answer(server, *worst, false, now);
   }
   std::vector<RequestHandle> overdue;
-  for (const auto& [handle, waiting] : server.asks) {
+  for (const auto& [handle, waiting] : server.requests) {
     if (waiting.expires_at < now) overdue.push_back(handle);
   }
   for (const RequestHandle handle : overdue) {
@@ -135,7 +136,7 @@
   for (const auto& [name, server] : servers_) {
     json["servers"][name] = Json{{"per_second", server.per_second},
                                  {"level", server.bucket.level},
-                                 {"waiting", server.asks.size()}};
+                                 {"waiting", server.requests.size()}};
   }
   return json;
 }
--- a/admission/permit_ledger.h
+++ b/admission/permit_ledger.h
@@ -16,8 +16,8 @@
 // Share of a server's limit that isolated hosts use together. It is below one
 // because each host decides at random and their sum varies.
 inline constexpr double kIsolatedShare = 0.5;
-// Requests per second to a server whose limit is zero; without them a raised
-// limit would go unnoticed.
+// Minimum send rate per second, also to a server with limit zero; without it a
+// raised limit would go unnoticed.
 inline constexpr double kTrialRate = 0.1;
 
 // Rate at which requests are sent to a server that announces `per_second`.
@@ -50,8 +50,8 @@
 // wait.
 //
 // Whole requests do not divide among hosts: a limit of one request a second
-// would leave each of 300 hosts one request in five minutes. So no host has a
-// part in advance, except isolated hosts.
+// would leave each of 300 hosts one request in five minutes. So only isolated
+// hosts have a part of the limit.
 class PermitLedger {
  public:
   explicit PermitLedger(int expected_hosts) : presence_(expected_hosts) {}
@@ -62,8 +62,9 @@
   void Lift(const std::string& server, TimePoint now);
   // Records contact of a host, which therefore does not use its own part.
   void NoteHost(const std::string& host, TimePoint now);
-  // Answered at once or by a later Serve(); see TakeAnswers().
-  void Ask(const HostPermitRequest& ask, TimePoint now);
+  // Requests a permit, answered at once or by a later Serve(); see
+  // TakeAnswers().
+  void Ask(const HostPermitRequest& request, TimePoint now);
   // Grants available permits and refuses requests that can no longer be served
   // in time.
   void Serve(TimePoint now);
@@ -75,15 +76,15 @@
 
  private:
   struct Waiting {
-    HostPermitRequest ask;
-    TimePoint asked_at;
+    HostPermitRequest request;
+    TimePoint enqueued_at;
     TimePoint expires_at;
   };
   struct Server {
     double per_second = 0;
     QuotaBucket bucket;
     AdmissionQueue queue;
-    std::map<RequestHandle, Waiting> asks;
+    std::map<RequestHandle, Waiting> requests;
   };
 
   // Share of each limit that is not set aside for isolated hosts.
--- a/tests/admission/permit_ledger_test.cc
+++ b/tests/admission/permit_ledger_test.cc
@@ -24,16 +24,16 @@
 
   uint64_t Ask(Duration patience, double worth = 1,
                const std::string& caller = "c") {
-    HostPermitRequest ask;
-    ask.host = "a";
-    ask.id = ++last_id_;
-    ask.server = kServer;
-    ask.caller = caller;
-    ask.worth = worth;
-    ask.patience = patience;
-    ledger_.Ask(ask, now_);
+    HostPermitRequest request;
+    request.host = "a";
+    request.id = ++last_id_;
+    request.server = kServer;
+    request.caller = caller;
+    request.worth = worth;
+    request.patience = patience;
+    ledger_.Ask(request, now_);
     Collect();
-    return ask.id;
+    return request.id;
   }
   void Run(Duration duration) {
     for (const TimePoint end = now_ + duration; now_ < end;) {
--- a/tests/admission/quota_fixture.h
+++ b/tests/admission/quota_fixture.h
@@ -114,9 +114,11 @@
   }
 
   struct Count {
-    double asked = 0;
+    double requested = 0;
     double admitted = 0;
-    double ServedShare() const { return asked > 0 ? admitted / asked : 1; }
+    double ServedShare() const {
+      return requested > 0 ? admitted / requested : 1;
+    }
   };
   // Returns the counts since the last call.
   Count TakeCount(const std::string& name) {
@@ -226,7 +228,7 @@
 
   void Ask(const std::string& name, const Load& load, double cost) {
     const size_t host = load.callers[random_.Below(load.callers.size())];
-    counts_[name].asked += cost;
+    counts_[name].requested += cost;
     const QuotaDecision decision =
         hosts_[host].gate->Ask(load.team, cost, random_.Unit(), now_);
     if (!decision.is_admitted) return;
--- a/tests/node/test_rules.h
+++ b/tests/node/test_rules.h
@@ -8,7 +8,7 @@
 
 // A rule set for tests: doors may not be repeated, "late-*" has a long
 // deadline, the rest is ordinary.
-inline Json TestRules(const std::string& name = "test", int most_replicas = 1) {
+inline Json TestRules(const std::string& name = "test", int max_replicas = 1) {
   return Json{{"name", name},
               {"author", "tests"},
               {"reason", "to be tested"},
@@ -22,7 +22,7 @@
                 {{"name", "rest"},
                  {"then",
                   {{"deadline_ms", 30000},
-                   {"most_replicas", most_replicas},
+                   {"most_replicas", max_replicas},
                    {"worth", 10}}}}}}};
 }
 
