--- a/node/node.h
+++ b/node/node.h
@@ -56,7 +56,7 @@
 
  private:
   void On(const RequestArrived& event) { flow_.HandleArrival(event); }
-  void On(const CallerGone& event) { flow_.HandleCallerGone(event); }
+  void On(const CallerGone& event) { flow_.HandleCallerDisconnected(event); }
   void On(const AttemptStarted& event) { flow_.HandleAttemptStarted(event); }
   void On(const AttemptEnded& event) { flow_.HandleAttemptEnded(event); }
   void On(const ServerProbed& event) { flow_.TakeProbe(event); }
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -738,7 +738,7 @@
   log_.LogRefusal(event, rule, refusal);
 }
 
-void RequestFlow::HandleCallerGone(const CallerGone& event) {
+void RequestFlow::HandleCallerDisconnected(const CallerGone& event) {
   if (early_.CancelHeld(event.handle)) return;
   Request* request = Find(event.handle);
   if (request == nullptr) return;
--- a/node/request_flow.h
+++ b/node/request_flow.h
@@ -37,7 +37,7 @@
   // Handle events of one request, which may arrive late, duplicated or after
   // its end. Not thread-safe.
   void HandleArrival(const RequestArrived& event);
-  void HandleCallerGone(const CallerGone& event);
+  void HandleCallerDisconnected(const CallerGone& event);
   void HandleAttemptStarted(const AttemptStarted& event);
   void HandleAttemptEnded(const AttemptEnded& event);
   // Handles the result of a probe for whether a server that cut requests is
