--- a/node/limit_keeper.cc
+++ b/node/limit_manager.cc
@@ -1,11 +1,10 @@
-#include "node/limit_keeper.h"
-
 #include <absl/strings/str_cat.h>
 #include <absl/strings/str_format.h>
 
 #include <algorithm>
 
 #include "core/event_log.h"
+#include "node/limit_manager.h"
 
 namespace applehall {
 namespace {
@@ -74,9 +73,9 @@
 
 // ---- Limits ----
 
-void LimitKeeper::TakeReported(const std::string& server,
-                               const ReportedLimit& reported,
-                               TimePoint sent_at) {
+void LimitManager::ApplyReported(const std::string& server,
+                                 const ReportedLimit& reported,
+                                 TimePoint sent_at) {
   if (reported.kind == ReportedLimit::Kind::kMalformed) {
     context_.metrics.Count("server_limits_unreadable_total");
     LogEvent(LogLevel::kWarning, "server_limit_unreadable")
@@ -85,7 +84,7 @@
     return;
   }
   const std::optional<double> before = book_.Find(server);
-  if (!book_.TakeReported(server, reported, sent_at, context_.now)) return;
+  if (!book_.ApplyReported(server, reported, sent_at, context_.now)) return;
   LogEvent(LogLevel::kInfo, "server_limit_heard")
       .With("server", server)
       .With("per_second", reported.per_second)
@@ -96,7 +95,7 @@
 }
 
 // The ledger and the permits at hand follow what is known.
-void LimitKeeper::ApplyChanges() {
+void LimitManager::ApplyChanges() {
   for (const std::string& server : book_.TakeChanged()) {
     const std::optional<double> limit = book_.Find(server);
     context_.metrics.Count("server_limit_changes_total");
@@ -115,12 +114,12 @@
   }
 }
 
-void LimitKeeper::Forget(const std::string& server) {
+void LimitManager::Forget(const std::string& server) {
   book_.Forget(server, context_.now);
   ApplyChanges();
 }
 
-std::string LimitKeeper::Describe(const std::string& server) const {
+std::string LimitManager::Describe(const std::string& server) const {
   return absl::StrFormat("%s takes %.3g requests a second, named %d ms ago",
                          server, book_.Find(server).value_or(0),
                          ToMillis(book_.Age(server, context_.now)));
@@ -128,8 +127,8 @@
 
 // ---- Permits ----
 
-LimitKeeper::Permit LimitKeeper::Acquire(const std::string& server,
-                                         const PermitRequest& wanted) {
+LimitManager::Permit LimitManager::Acquire(const std::string& server,
+                                           const PermitRequest& wanted) {
   if (gate_.TakeSpare(server, context_.now)) return Permit::kGranted;
   if (!ledger_ && !is_owner_heard_) {
     const int hosts = told_hosts_ > 0 ? told_hosts_ : kDefaultHostCount;
@@ -162,11 +161,11 @@
   return Permit::kPending;
 }
 
-void LimitKeeper::ReturnPermit(const std::string& server) {
+void LimitManager::ReturnPermit(const std::string& server) {
   gate_.AddSpare(server, context_.now + kPermitLife);
 }
 
-void LimitKeeper::SendAsks() {
+void LimitManager::SendAsks() {
   if (unsent_.empty() || owner_.host.empty()) return;
   asks_sent_at_ = context_.now;
   Json body{{kToken, token_},
@@ -177,7 +176,8 @@
                          {PeerMessageType::kPermitAsk, std::move(body)}});
 }
 
-void LimitKeeper::TakeAsks(const std::string& host, const Json& body) {
+void LimitManager::HandlePermitRequests(const std::string& host,
+                                        const Json& body) {
   if (!ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   askers_[host] = FieldOr<std::string>(body, kAddress, "");
   for (const Json& row : body.value(kAsks, Json::array())) {
@@ -189,7 +189,7 @@
   SendAnswers();
 }
 
-void LimitKeeper::SendAnswers() {
+void LimitManager::SendAnswers() {
   std::map<std::string, Json> rows;
   for (const PermitAnswer& answer : ledger_->TakeAnswers()) {
     context_.metrics.Count(answer.is_granted ? "server_limit_grants_total"
@@ -210,7 +210,7 @@
   }
 }
 
-void LimitKeeper::TakeAnswers(const Json& body) {
+void LimitManager::TakeAnswers(const Json& body) {
   if (ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   for (const Json& row : body.value(kAnswers, Json::array())) {
     if (const std::optional<PermitAnswer> answer = ReadAnswer(row)) {
@@ -219,7 +219,7 @@
   }
 }
 
-void LimitKeeper::TakeAnswer(const PermitAnswer& answer) {
+void LimitManager::TakeAnswer(const PermitAnswer& answer) {
   const auto it = asks_.find(answer.id);
   if (it == asks_.end()) return;
   const OpenAsk ask = std::move(it->second);
@@ -237,7 +237,7 @@
 }
 
 // The owner may have gone, or stands still.
-void LimitKeeper::GiveUpAsks() {
+void LimitManager::GiveUpAsks() {
   for (auto it = asks_.begin(); it != asks_.end();) {
     const auto next = std::next(it);
     if (it->second.give_up_at <= context_.now) {
@@ -252,17 +252,17 @@
 
 // ---- Between the hosts ----
 
-void LimitKeeper::StartPlanning(uint64_t& last_news) {
+void LimitManager::StartPlanning(uint64_t& last_news) {
   ledger_ = std::make_unique<PermitLedger>(told_hosts_);
   askers_.clear();
-  book_.RestartRows(last_news);
+  book_.RenumberRows(last_news);
   for (const auto& [server, per_second] : book_.Limits()) {
     ledger_->SetLimit(server, per_second, context_.now);
   }
 }
 
-void LimitKeeper::RunTick(const PeerAddress& owner, FencingToken token,
-                          bool is_heard) {
+void LimitManager::RunTick(const PeerAddress& owner, FencingToken token,
+                           bool is_heard) {
   if (token != token_) {
     // Another owner has another ledger.
     unsent_ = Json::array();
@@ -285,29 +285,29 @@
   GiveUpAsks();
 }
 
-Json LimitKeeper::ReportRows(FencingToken token, const EngineList& servers) {
+Json LimitManager::ReportRows(FencingToken token, const EngineList& servers) {
   return book_.ReportRows(token, servers, context_.now);
 }
 
-void LimitKeeper::NoteHost(const std::string& host) {
+void LimitManager::NoteHost(const std::string& host) {
   if (ledger_) ledger_->NoteHost(host, context_.now);
 }
 
-void LimitKeeper::TakeReport(const std::string& host, const Json& rows,
-                             const EngineList& servers) {
+void LimitManager::TakeReport(const std::string& host, const Json& rows,
+                              const EngineList& servers) {
   if (!ledger_) return;
   LogEvent(LogLevel::kDebug, "server_limits_reported").With("by", host);
   book_.TakeReport(rows, servers, context_.now);
   ApplyChanges();
 }
 
-void LimitKeeper::TakePlan(const Json& rows, FencingToken token,
-                           const EngineList& servers) {
+void LimitManager::TakePlan(const Json& rows, FencingToken token,
+                            const EngineList& servers) {
   book_.TakePlan(rows, token, servers, context_.now);
   ApplyChanges();
 }
 
-Json LimitKeeper::ToJson() const {
+Json LimitManager::ToJson() const {
   Json json{{"limits", book_.ToJson(context_.now)},
             {"asks", asks_.size()},
             {"owner_heard", is_owner_heard_},
--- a/node/node.cc
+++ b/node/node.cc
@@ -250,16 +250,16 @@
       fleet_.NoteOwner(StoreRelay::OwnerIn(body));
       return;
     case PeerMessageType::kQuotaUsage:
-      quotas_.TakeCentreUsage(event.host, body);
+      quotas_.HandleCentreUsage(event.host, body);
       return;
     case PeerMessageType::kQuotaWord:
-      quotas_.TakeCentreWord(body);
+      quotas_.HandleCentreShares(body);
       return;
     case PeerMessageType::kPermitAsk:
-      limits_.TakeAsks(event.host, body);
+      limits_.HandlePermitRequests(event.host, body);
       return;
     case PeerMessageType::kPermitAnswer:
-      limits_.TakeAnswers(body);
+      limits_.HandlePermitAnswers(body);
       return;
   }
 }
@@ -287,7 +287,7 @@
     FinishDrain();
     return;
   }
-  quarantine_.RunTick(/*is_owner=*/false, /*hears_owner=*/false);
+  quarantine_.RunTick(/*is_owner=*/false, /*is_owner_reachable=*/false);
   groups_.RunTick();
   flow_.RunTick();
   gossip_.RunTick();
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -60,8 +60,8 @@
 
 RequestFlow::RequestFlow(NodeContext& context, GroupKeeper& groups,
                          Gossip& gossip, FleetKeeper& fleet,
-                         QuarantineKeeper& quarantine, QuotaKeeper& quotas,
-                         LimitKeeper& limits)
+                         QuarantineManager& quarantine, QuotaManager& quotas,
+                         LimitManager& limits)
     : context_(context),
       groups_(groups),
       gossip_(gossip),
@@ -355,20 +355,20 @@
 bool RequestFlow::MayDispatch(Request& request, const EngineDigest& engine) {
   if (!limits_.IsLimited(engine.engine)) return true;
   const RuleOutcome& then = request.rule().then;
-  LimitKeeper::PermitRequest wanted;
+  LimitManager::PermitRequest wanted;
   wanted.handle = request.arrival.handle;
   wanted.caller = request.team.value_or(request.arrival.facts.caller);
   wanted.worth = then.worth;
   wanted.is_background = then.is_background();
-  wanted.patience = MaxPermitWait(request, engine);
+  wanted.max_wait = MaxPermitWait(request, engine);
   request.permit_server = engine.engine;
   switch (limits_.Acquire(request.permit_server, wanted)) {
-    case LimitKeeper::Permit::kGranted:
+    case LimitManager::Permit::kGranted:
       return true;
-    case LimitKeeper::Permit::kPending:
+    case LimitManager::Permit::kPending:
       request.phase = Phase::kPermit;
       return false;
-    case LimitKeeper::Permit::kDenied:
+    case LimitManager::Permit::kDenied:
       HandleDenial(request, kIsolatedRetry);
       return false;
   }
@@ -392,11 +392,11 @@
   // A requeued request may get a permit elsewhere at once.
   for (auto outcomes = limits_.TakeOutcomes(); !outcomes.empty();
        outcomes = limits_.TakeOutcomes()) {
-    for (const LimitKeeper::Outcome& outcome : outcomes) HandlePermit(outcome);
+    for (const LimitManager::Outcome& outcome : outcomes) HandlePermit(outcome);
   }
 }
 
-void RequestFlow::HandlePermit(const LimitKeeper::Outcome& outcome) {
+void RequestFlow::HandlePermit(const LimitManager::Outcome& outcome) {
   Request* request = Find(outcome.handle);
   const bool is_open = request != nullptr && request->phase == Phase::kPermit &&
                        request->permit_server == outcome.server;
@@ -492,7 +492,7 @@
   if (request == nullptr) return;
   if (!request->has_started) request->started_at = context_.now;
   if (request->phase == Phase::kSent) {
-    limits_.TakeReported(request->backend, event.limit, request->sent_at);
+    limits_.ApplyReported(request->backend, event.limit, request->sent_at);
   }
   request->has_started = true;
 }
@@ -507,7 +507,7 @@
   const std::string backend = request->backend;
   const bool was_local = request->backend_kind != BackendKind::kEntryHost;
   if (was_local) {
-    limits_.TakeReported(backend, event.limit, request->sent_at);
+    limits_.ApplyReported(backend, event.limit, request->sent_at);
     context_.view.EndRequest(backend, request->target, ViewEnd(event.result),
                              context_.now);
   }
@@ -518,7 +518,7 @@
   if (event.result == AttemptResult::kCompleted) {
     TargetState& state = targets_[request->target];
     RecordServiceTime(context_.now - request->sent_at, state);
-    quarantine_.NoteCompleted(request->arrival.fingerprint);
+    quarantine_.RecordCompleted(request->arrival.fingerprint);
     if (!IsFleet()) backend_retries_[backend].RecordFirstAttempt();
     Settle(event.handle, "answered", Verdict::kRan, "");
   } else {
@@ -551,7 +551,7 @@
 void RequestFlow::TakeProbe(const ServerProbed& probed) {
   const std::vector<CutRequest> cuts = ends_.TakeProbe(probed);
   if (cuts.empty()) return;
-  quarantine_.NoteEnd(probed.server, cuts);
+  quarantine_.RecordEnd(probed.server, cuts);
   RefuseQuarantined();
 }
 
--- a/node/request_flow.h
+++ b/node/request_flow.h
@@ -13,10 +13,10 @@
 #include "node/fleet_keeper.h"
 #include "node/gossip.h"
 #include "node/group_keeper.h"
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 #include "node/node_context.h"
 #include "node/open_request.h"
-#include "node/quota_keeper.h"
+#include "node/quota_manager.h"
 #include "node/request_decider.h"
 #include "node/request_log.h"
 #include "node/server_ends.h"
@@ -31,8 +31,8 @@
 class RequestFlow {
  public:
   RequestFlow(NodeContext& context, GroupKeeper& groups, Gossip& gossip,
-              FleetKeeper& fleet, QuarantineKeeper& quarantine,
-              QuotaKeeper& quotas, LimitKeeper& limits);
+              FleetKeeper& fleet, QuarantineManager& quarantine,
+              QuotaManager& quotas, LimitManager& limits);
 
   // Handle events of one request, which may arrive late, duplicated or after
   // its end. Not thread-safe.
@@ -99,7 +99,7 @@
   void Send(Request& request, const EngineDigest& engine);
   bool MayDispatch(Request& request, const EngineDigest& engine);
   Duration MaxPermitWait(const Request& request, const EngineDigest& engine);
-  void HandlePermit(const LimitKeeper::Outcome& outcome);
+  void HandlePermit(const LimitManager::Outcome& outcome);
   void HandleDenial(Request& request, Duration retry_after);
   bool TryForward(Request& request);
   void SendAttempt(Request& request, BackendKind kind,
@@ -146,9 +146,9 @@
   GroupKeeper& groups_;
   Gossip& gossip_;
   FleetKeeper& fleet_;
-  QuarantineKeeper& quarantine_;
-  QuotaKeeper& quotas_;
-  LimitKeeper& limits_;
+  QuarantineManager& quarantine_;
+  QuotaManager& quotas_;
+  LimitManager& limits_;
   EarlyRequests early_;
   RequestDecider decider_;
   RequestLog log_;
