--- a/node/limit_manager.cc
+++ b/node/limit_manager.cc
@@ -29,18 +29,18 @@
 constexpr char kAnswers[] = "g";
 
 // ID, server, caller, worth, is background, maximum wait in ms.
-Json RequestToJson(const PermitAsk& request) {
+Json RequestToJson(const HostPermitRequest& request) {
   return Json::array({request.id, request.server, request.caller, request.worth,
                       request.is_background, ToMillis(request.patience)});
 }
 
-std::optional<PermitAsk> ParseRequest(const Json& row) {
+std::optional<HostPermitRequest> ParseRequest(const Json& row) {
   const bool is_request = row.is_array() && row.size() == 6 &&
                           row[0].is_number_unsigned() && row[1].is_string() &&
                           row[2].is_string() && row[3].is_number() &&
                           row[4].is_boolean() && row[5].is_number_integer();
   if (!is_request) return std::nullopt;
-  PermitAsk request;
+  HostPermitRequest request;
   request.id = row[0].get<uint64_t>();
   request.server = row[1].get<std::string>();
   request.caller = row[2].get<std::string>();
@@ -133,16 +133,16 @@
                                            const PermitRequest& wanted) {
   if (gate_.TakeSpare(server, context_.now)) return Permit::kGranted;
   if (!ledger_ && !is_owner_reachable_) {
-    const int hosts = known_hosts_ > 0 ? known_hosts_ : kAssumedHosts;
+    const int hosts = known_hosts_ > 0 ? known_hosts_ : kDefaultHostCount;
     const bool is_taken =
-        gate_.TryAlone(server, registry_.Find(server).value_or(0), hosts,
-                       context_.random.Unit(), context_.now);
+        gate_.TrySendIsolated(server, registry_.Find(server).value_or(0), hosts,
+                              context_.random.Unit(), context_.now);
     context_.metrics.Count(is_taken ? "server_limit_alone_total"
                                     : "server_limit_alone_held_total");
     return is_taken ? Permit::kGranted : Permit::kDenied;
   }
   if (requests_.size() >= kMaxOpenRequests) return Permit::kDenied;
-  PermitAsk request;
+  HostPermitRequest request;
   request.host = context_.settings.self.host;
   request.id = ++last_request_id_;
   request.server = server;
@@ -183,7 +183,7 @@
   if (!ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   requester_addresses_[host] = FieldOr<std::string>(body, kAddress, "");
   for (const Json& row : body.value(kRequests, Json::array())) {
-    std::optional<PermitAsk> request = ParseRequest(row);
+    std::optional<HostPermitRequest> request = ParseRequest(row);
     if (!request) continue;
     request->host = host;
     ledger_->Ask(*request, context_.now);
--- a/node/quarantine_manager.cc
+++ b/node/quarantine_manager.cc
@@ -132,7 +132,7 @@
       break;
   }
   unrecorded_.insert(end.fingerprint);
-  const TimePoint until = context_.now + kQuarantineLife;
+  const TimePoint until = context_.now + kQuarantineTtl;
   Add(end.fingerprint, until,
       absl::StrCat("server ", end.server, " reported by ", host));
   if (is_owner_) return;
@@ -145,11 +145,11 @@
 void QuarantineManager::Add(uint64_t fingerprint, TimePoint until,
                             const std::string& source) {
   // Clock skew between hosts must not extend the quarantine.
-  const TimePoint latest = context_.now + kQuarantineLife;
+  const TimePoint latest = context_.now + kQuarantineTtl;
   const bool was_held = Holds(fingerprint);
   if (!quarantine_.Add(fingerprint, std::min(until, latest))) return;
   if (was_held) return;
-  ledger_.Convict(fingerprint, context_.now);
+  ledger_.MarkProven(fingerprint, context_.now);
   suspects_.erase(fingerprint);
   unreleased_.erase(fingerprint);
   added_.push_back(fingerprint);
@@ -225,7 +225,7 @@
   // Keeps a row for as long as a host that missed it may apply an earlier one.
   std::erase_if(announced_, [this](const auto& item) {
     const Duration ttl =
-        item.second.was_quarantined ? kQuarantineLife : kSuspectTtl;
+        item.second.was_quarantined ? kQuarantineTtl : kSuspectTtl;
     return !Holds(item.first) && context_.now - item.second.at > ttl;
   });
 }
--- a/node/quota_manager.cc
+++ b/node/quota_manager.cc
@@ -100,7 +100,7 @@
                      "the quota of team %s is used up (%s, share %.3f, updated "
                      "%d ms ago, cost %.0f, version %d)",
                      team.name, QuotaModeName(decision.mode), decision.share,
-                     ToMillis(decision.told_ago), cost,
+                     ToMillis(decision.shares_age), cost,
                      context_.control.rules().version()),
                  decision.retry_after};
 }
@@ -129,7 +129,7 @@
                               const std::string& data_centre,
                               const Json& rows) {
   if (!ledger_) return;
-  ledger_->TakeUsage(
+  ledger_->ApplyUsage(
       host, data_centre, FieldOr<uint64_t>(rows, kIncarnation, 0),
       ParseUsage(rows.value(kTeams, Json::object())), context_.now);
 }
@@ -138,7 +138,7 @@
   if (!HasQuotas()) return;
   if (ledger_) {
     RunOwner();
-  } else if (gate_.IsTold(context_.now)) {
+  } else if (gate_.HasFreshShares(context_.now)) {
     centre_ledger_.reset();
   } else {
     RunWithoutOwner(reader);
@@ -148,9 +148,9 @@
 QuotaShares QuotaManager::ComputeShares(QuotaLedger& ledger,
                                         std::shared_ptr<const TeamBook> teams) {
   ledger.SetTeams(std::move(teams), context_.now);
-  ledger.TakeUsage(context_.settings.self.host, context_.settings.data_centre,
-                   context_.settings.self.number, gate_.Usage(context_.now),
-                   context_.now);
+  ledger.ApplyUsage(context_.settings.self.host, context_.settings.data_centre,
+                    context_.settings.self.number, gate_.Usage(context_.now),
+                    context_.now);
   return ledger.Shares(context_.now);
 }
 
@@ -162,7 +162,7 @@
   LogThrottled(shares);
   shares_ = std::move(shares);
   known_hosts_ = ledger_->KnownHosts(context_.now);
-  gate_.TakeShares(shares_, known_hosts_, context_.now);
+  gate_.ApplyShares(shares_, known_hosts_, context_.now);
   const auto parts = ledger_->parts().find(context_.settings.data_centre);
   if (parts != ledger_->parts().end()) centre_parts_ = parts->second;
 }
@@ -198,7 +198,7 @@
   QuotaShares shares = ComputeShares(*centre_ledger_, CentreTeams());
   if (!centre_ledger_->IsReady(context_.now)) return;
   centre_shares_ = std::move(shares);
-  gate_.TakeCentreShares(centre_shares_, context_.now);
+  gate_.ApplyCentreShares(centre_shares_, context_.now);
 }
 
 // Returns the teams with their quotas reduced to this data centre's part.
@@ -220,14 +220,14 @@
                                      const Json& body) {
   if (!HasQuotas()) return;
   if (centre_ledger_) {
-    centre_ledger_->TakeUsage(host, context_.settings.data_centre,
-                              FieldOr<uint64_t>(body, kIncarnation, 0),
-                              ParseUsage(body.value(kTeams, Json::object())),
-                              context_.now);
+    centre_ledger_->ApplyUsage(host, context_.settings.data_centre,
+                               FieldOr<uint64_t>(body, kIncarnation, 0),
+                               ParseUsage(body.value(kTeams, Json::object())),
+                               context_.now);
   }
   // If the owner still reaches this host, its share is valid for `host` as
   // well.
-  const bool has_owner_shares = gate_.IsTold(context_.now);
+  const bool has_owner_shares = gate_.HasFreshShares(context_.now);
   const bool has_centre_shares =
       centre_ledger_ && centre_ledger_->IsReady(context_.now);
   if (!has_owner_shares && !has_centre_shares) return;
@@ -240,8 +240,8 @@
 }
 
 void QuotaManager::HandleCentreShares(const Json& body) {
-  gate_.TakeCentreShares(ParseShares(body.value(kTeams, Json::object())),
-                         context_.now);
+  gate_.ApplyCentreShares(ParseShares(body.value(kTeams, Json::object())),
+                          context_.now);
 }
 
 Json QuotaManager::PlanRows(const std::string& data_centre) const {
@@ -272,7 +272,7 @@
 void QuotaManager::TakePlan(const Json& rows) {
   shares_ = ParseShares(rows.value(kTeams, Json::object()));
   known_hosts_ = std::max(1, FieldOr<int>(rows, kHosts, 1));
-  gate_.TakeShares(shares_, known_hosts_, context_.now);
+  gate_.ApplyShares(shares_, known_hosts_, context_.now);
   centre_parts_ = ParseParts(rows.value(kParts, Json::object()));
 }
 
--- a/node/server_end_inbox.cc
+++ b/node/server_end_inbox.cc
@@ -25,7 +25,7 @@
     parsed.push_back(*std::move(row));
   }
   std::erase_if(received_, [now](const auto& item) {
-    return now - item.second.at > kQuarantineLife;
+    return now - item.second.at > kQuarantineTtl;
   });
   Received& received = received_[host];
   // A delayed report of an earlier incarnation.
--- a/tests/node/test_rules.h
+++ b/tests/node/test_rules.h
@@ -6,9 +6,9 @@
 
 namespace applehall {
 
-// A rule set for tests: doors open once, "late-*" may wait, the rest is
-// ordinary.
-inline Json TestRules(const std::string& name = "test", int most_replicas = 1) {
+// A rule set for tests: doors may not be repeated, "late-*" has a long
+// deadline, the rest is ordinary.
+inline Json TestRules(const std::string& name = "test", int max_replicas = 1) {
   return Json{{"name", name},
               {"author", "tests"},
               {"reason", "to be tested"},
@@ -22,11 +22,11 @@
                 {{"name", "rest"},
                  {"then",
                   {{"deadline_ms", 30000},
-                   {"most_replicas", most_replicas},
+                   {"most_replicas", max_replicas},
                    {"worth", 10}}}}}}};
 }
 
-// `count` models of half a gigabyte and one adapter for each of the first two.
+// `count` models of 500 MB and one adapter for each of the first two.
 inline Catalogue TestCatalogue(int count) {
   Catalogue catalogue;
   for (int i = 0; i < count; ++i) {
