--- a/placement/demand.h
+++ b/placement/demand.h
@@ -7,25 +7,26 @@
 
 namespace applehall {
 
-// What one host wants of a model that is cold or too busy. Sent to the owner
-// while requests wait; it states a level, so losing or doubling one is safe.
+// One host's demand for a model that is cold or overloaded. Sent to the owner
+// while requests wait. It states a level, not a change, so a lost or duplicated
+// message is harmless.
 struct Demand {
   std::string target;  // Model or adapter.
-  std::string host;    // Who asks.
+  std::string host;    // The host that sends the demand.
   int waiting = 0;
-  double worth = 0;   // Of all that wait.
-  Duration slack{0};  // Until the earliest of them must be answered.
+  double worth = 0;   // Sum over all waiting requests.
+  Duration slack{0};  // Until the earliest deadline among them.
   bool is_background = false;
 };
 
-// What the owner makes of a demand.
+// The owner's state for a demanded target.
 enum class DemandStatus : uint8_t {
   kReady,
   kLoading,
-  kQueued,   // Will be loaded when memory or the store allows.
-  kNoPlace,  // No engine of this group can take it.
+  kQueued,   // Loaded as soon as memory and the weight store allow.
+  kNoPlace,  // No engine of this group can hold it.
   kFailed,   // The last load failed.
-  kUnknown,  // The owner does not know its engines yet.
+  kUnknown,  // The owner has no inventory of its engines yet.
 };
 
 constexpr const char* DemandStatusName(DemandStatus status) {
@@ -46,16 +47,16 @@
   return "unknown";
 }
 
-// Why the owner has ordered nothing yet for what waits. The later a reason
-// stands, the nearer a load was.
+// Why the owner has not ordered a load for a waiting target. Ascending: the
+// higher the value, the closer the target was to being loaded.
 enum class PutOff : uint8_t {
-  kNone,           // An order was given, or nobody looked yet.
-  kNoEngine,       // No engine that answers could hold it.
-  kStoreFull,      // No engine has a copy, and the store brings others.
-  kNothingToDrop,  // All that the engines hold is in use or just came.
-  kWorthLess,      // What would have to go is worth more.
-  kReserved,       // The engines are kept for others that wait.
-  kEngineBusy,     // The best engine carries out another order.
+  kNone,           // An order was sent, or the target was not examined yet.
+  kNoEngine,       // No responsive engine could hold it.
+  kStoreFull,      // No engine has a copy, and the weight store is busy.
+  kNothingToDrop,  // All models on the engines are in use or newly loaded.
+  kWorthLess,      // The models to evict are worth more.
+  kReserved,       // The engines are reserved for other targets.
+  kEngineBusy,     // The best engine is executing another order.
 };
 
 constexpr const char* PutOffName(PutOff reason) {
@@ -82,7 +83,7 @@
   std::string target;
   std::string group;
   DemandStatus status = DemandStatus::kUnknown;
-  Duration expected{0};  // Until it is ready, if it will be.
+  Duration expected{0};  // Estimated time until the target is ready.
   PutOff put_off = PutOff::kNone;
 };
 
--- a/placement/engine_owner.h
+++ b/placement/engine_owner.h
@@ -18,8 +18,8 @@
 
 namespace applehall {
 
-// How idle models leave. The learnt policy is the product; the others are
-// baselines it is measured against.
+// When idle models are unloaded. kLearnt is for production; the others are
+// baselines for comparison.
 enum class KeepPolicy : uint8_t {
   kLearnt,
   kFixedTimeToLive,
@@ -34,11 +34,11 @@
   Duration default_keep = std::chrono::minutes(5);
   int loads_per_engine = 2;
   KeepPolicy keep_policy = KeepPolicy::kLearnt;
-  // For kOracle only: when a model will be called next, after a given time.
+  // kOracle only: the time of the model's next request after a given time.
   std::function<TimePoint(const std::string& model, TimePoint after)> next_use;
 };
 
-// What the owner needs to know of the rules and the weight store.
+// Inputs to placement from the rules and the catalogue.
 struct PlacementPolicy {
   const ReplicaBoundsTable* bounds = nullptr;
   const std::map<std::string, CatalogueEntry>* catalogue = nullptr;
@@ -51,7 +51,7 @@
   EngineOrder order;
 };
 
-// A placement event worth a line in the log and in the decision ring.
+// A placement event for the log and the decision ring.
 struct PlacementNote {
   std::string event;
   std::string engine;
@@ -60,54 +60,56 @@
   Duration took{0};
 };
 
-// Decides what the engines of one group load and unload, while this host
-// holds the group's ownership.
+// Decides which models the engines of one group load and unload while this
+// host holds the group's ownership.
 //
-// Safe against all that can happen to orders and answers by its ledgers; safe
-// against other owners by its token. A new owner asks every engine for its
-// inventory under the new token before it reserves anything there, and counts
-// an engine that has not answered as if it held every model.
+// The memory ledgers make it safe against lost, late and duplicated orders and
+// answers; the fencing token makes it safe against other owners. A new owner
+// requests every engine's inventory under the new token before it reserves
+// memory there, and counts an engine without an answer as holding every model.
 class EngineOwner {
  public:
   // `self` and `token` make order ids unique.
   EngineOwner(std::string group, Incarnation self, FencingToken token,
               OwnerSettings settings);
 
-  // Replaces the list of engines. Engines that have left are forgotten.
+  // Replaces the list of engines and removes those that are missing from it.
   // Requires: only confirmed departures are missing. Not thread-safe.
   void SetEngines(const std::vector<EngineFacts>& engines);
-  // Whether an earlier owner may still order engines that do not check.
+  // Sets whether an earlier owner may still order engines that do not check
+  // fences.
   // Not thread-safe.
   void SetUnfencedBlocked(bool blocked, TimePoint now);
-  // A host's demand; the level stands until replaced or kDemandLife passed.
+  // Records a host's demand. It is valid until replaced, or for kDemandLife.
   // Not thread-safe.
   void TakeDemand(const Demand& demand, TimePoint now);
-  // An engine's answer to an order or inspection. Not thread-safe.
+  // Handles an engine's answer to an order or inspection. Not thread-safe.
   void TakeInventory(const Inventory& inventory, TimePoint asked_at,
                      TimePoint now);
-  // Emits due inspections and the orders that are decided now. `quota` is
-  // this group's part of a data-centre-wide bound. Not thread-safe.
+  // Appends due inspections and new orders to `orders`. `quota` returns this
+  // group's share of a data-centre-wide bound. Not thread-safe.
   void Decide(const PlacementPolicy& policy, StoreBudget& store,
               const std::function<int(const std::string&, int)>& quota,
               TimePoint now, std::vector<OrderToSend>& orders);
-  // Stops giving orders, for a release. Not thread-safe.
+  // Stops ordering loads and unloads before a release; inspections continue.
+  // Not thread-safe.
   void Stop() { stopped_ = true; }
 
-  // How a demand for `target` stands. Not thread-safe.
+  // Returns the status of demand for `target`. Not thread-safe.
   DemandAnswer Answer(const std::string& target, const PlacementPolicy& policy,
                       const StoreBudget& store,
                       const std::function<int(const std::string&, int)>& quota,
                       TimePoint now) const;
-  // True when no order can be under way any more. Not thread-safe.
+  // True if no order can still be in flight. Not thread-safe.
   bool IsQuiet(TimePoint now) const;
-  // Takes what happened since the last call. Not thread-safe.
+  // Returns and clears the events since the last call. Not thread-safe.
   std::vector<PlacementNote> TakeNotes() { return std::exchange(notes_, {}); }
   const std::string& group() const { return group_; }
   FencingToken token() const { return token_; }
-  // Ends the store's part of all loads; their engines go on. For an owner
-  // that retires. The result is how many there were. Not thread-safe.
+  // Releases the weight store slots of all open loads and returns their number;
+  // the engines continue to load. For an owner that retires. Not thread-safe.
   int TakeOpenStoreLoads();
-  // True if a load waits for the store; a reason to borrow.
+  // True if a load waits for the weight store, so slots should be borrowed.
   bool wants_store() const { return wants_store_; }
 
   struct EngineState {
@@ -115,7 +117,7 @@
     MemoryLedger ledger;
     TimePoint next_inspect;
     TimePoint last_answer;
-    TimePoint last_asked;  // The latest question that was answered.
+    TimePoint last_asked;  // Send time of the latest answered request.
   };
   const std::map<std::string, EngineState>& engines() const { return engines_; }
   // The state dump. Not thread-safe.
@@ -135,12 +137,12 @@
     bool is_prewarm = false;
   };
   struct ReplicaCount {
-    int held = 0;     // In any state, and one for each unknown engine.
+    int held = 0;     // In any state, plus one for each unknown engine.
     int loading = 0;  // Ordered or loading.
     int ready = 0;
     int unknown = 0;
-    int foreign = 0;  // Engines that an earlier owner may load it on.
-    int slots = 0;    // Of engines where it is ready.
+    int foreign = 0;  // Engines on which an earlier owner may load it.
+    int slots = 0;    // On engines where it is ready.
     int running = 0;
   };
 
@@ -151,7 +153,7 @@
   ReplicaCount Count(const std::string& target) const;
   int DesiredReplicas(const TargetDemand& demand, const ReplicaCount& count,
                       const ReplicaBounds& bounds) const;
-  // Tries to bring one more replica; true if an order was given.
+  // Tries to load one more replica. Returns true if it sent a load order.
   bool TryLoad(const TargetDemand& demand, const CatalogueEntry& entry,
                StoreBudget& store, const PlacementPolicy& policy, TimePoint now,
                std::vector<OrderToSend>& orders);
@@ -164,7 +166,8 @@
   const EngineState* ChooseEngine(const TargetDemand& demand,
                                   const CatalogueEntry& entry) const;
   bool CanHost(const EngineState& engine, const CatalogueEntry& entry) const;
-  // An earlier owner may order it, or may have since its last inventory.
+  // True if an earlier owner may order this engine, or may have done so since
+  // its last inventory.
   bool IsSharedWithEarlierOwner(const EngineState& engine) const;
   bool MayOrder(const EngineState& engine) const;
   static uint64_t LeavingBytes(const EngineState& engine);
@@ -172,7 +175,8 @@
                           const std::string& keep_base) const;
   bool IsEvictable(const EngineState& engine, const std::string& name,
                    const Holding& holding) const;
-  // The same, but for adapters of a base model, which go before it.
+  // As IsEvictable, but ignores the adapters of a base model, which are
+  // unloaded before it.
   bool IsEvictableAlone(const std::string& name, const Holding& holding,
                         TimePoint seen_at) const;
   bool IsWanted(const std::string& target) const;
@@ -193,8 +197,8 @@
   void Unload(EngineState& engine, const std::string& name,
               const std::string& reason, TimePoint now,
               std::vector<OrderToSend>& orders);
-  // When a replica of an idle model is worth its memory, by the plan or the
-  // oracle: how long after its last use it may go, and when it should return.
+  // Returns how long after its last use an idle model is kept and when it is
+  // loaded ahead of its next use, by the learnt plan or the oracle.
   IdlePlan PlanFor(const std::string& target, Duration load_time,
                    const PlacementPolicy& policy, TimePoint now) const;
   static CheckpointTier TierOn(const EngineState& engine,
@@ -223,7 +227,7 @@
   std::map<std::pair<std::string, std::string>, DemandLevel> demands_;
   std::map<std::string, TimePoint> wanted_until_;
   std::map<std::string, TimePoint> failed_until_;
-  std::map<std::string, CheckpointTier> load_tiers_;  // By engine/target.
+  std::map<std::string, CheckpointTier> load_tiers_;  // By "engine/target".
   IdlePolicy idle_policy_;
   LoadPredictor predictor_;
   std::vector<PlacementNote> notes_;
--- a/placement/engine_types.h
+++ b/placement/engine_types.h
@@ -12,14 +12,14 @@
 
 namespace applehall {
 
-// Where an engine finds a checkpoint; each tier loads slower than the last.
+// Where an engine finds a checkpoint, from the fastest tier to the slowest.
 enum class CheckpointTier : uint8_t { kMemory, kDisk, kRemote };
 constexpr int kCheckpointTiers = 3;
 const char* TierName(CheckpointTier tier);
 CheckpointTier TierFromName(std::string_view name);
 
-// Orders of one owner ascend in (token, sequence). An engine that checks
-// refuses everything below the highest fence it has seen.
+// Orders of one owner ascend in (token, sequence). An engine that checks fences
+// refuses every order below the highest fence it has seen.
 struct Fence {
   FencingToken token = 0;
   uint64_t sequence = 0;
@@ -30,24 +30,24 @@
 enum class OrderKind : uint8_t { kLoad, kUnload, kInspect };
 const char* OrderKindName(OrderKind kind);
 
-// An order to an engine. kInspect changes nothing but the engine's fence and
-// asks for the inventory. Repeating an order with the same id is harmless.
+// An order to an engine. kInspect changes only the engine's fence and requests
+// the inventory. Orders are idempotent by id.
 struct EngineOrder {
   std::string id;
   OrderKind kind = OrderKind::kInspect;
-  uint64_t engine_incarnation = 0;  // Zero: whichever answers.
+  uint64_t engine_incarnation = 0;  // Zero: any incarnation.
   Fence fence;
   std::string name;  // Model or adapter.
-  std::string base;  // The model an adapter needs.
+  std::string base;  // The base model of an adapter.
   uint64_t bytes = 0;
-  // Orders that the engine must have accepted before this one, no more and no
-  // less; where engines check it, an order that arrives late changes nothing.
+  // Exact number of orders that the engine must have accepted before this one.
+  // An engine that checks it refuses an order that arrives late.
   std::optional<uint64_t> after_orders;
-  // Must not be put on the wire later than this. Guards against a paused
-  // process that sends what it decided long ago.
+  // Latest time to send the order. Prevents a process that was paused from
+  // sending an outdated decision.
   TimePoint send_by;
-  // Must not reach the engine later than this, however long its way is: the
-  // sender takes back what has not arrived. Nothing: whenever it arrives.
+  // Latest time at which the order may reach the engine: the sender cancels it
+  // if it has not arrived by then. Empty: no limit.
   std::optional<TimePoint> arrive_by;
 
   Json ToJson() const;
@@ -63,11 +63,11 @@
   uint64_t bytes = 0;
   ReplicaState state = ReplicaState::kReady;
   int running = 0;
-  TimePoint last_used;  // By the engine's clock, as an age in the inventory.
+  TimePoint last_used;  // Engine's clock; sent as an age in the inventory.
 };
 
 enum class OrderResult : uint8_t {
-  kAccepted,  // Under way; the inventory shows it.
+  kAccepted,  // In progress; the inventory shows it.
   kDone,
   kStaleFence,
   kWrongIncarnation,
@@ -76,37 +76,37 @@
   kNoBase,
   kUnknownModel,
   kLoadFailed,
-  kUnanswered,  // It may have been accepted, or may be carried out later.
+  kUnanswered,  // May have been accepted, or may still be executed later.
 };
 const char* OrderResultName(OrderResult result);
 
-// What an engine holds at the moment it answers. Unlike load reports this is
-// exact when written; it may still arrive late or crossed.
+// The contents of an engine's memory when it answers. Unlike load reports it is
+// exact when written, but may arrive late or out of order.
 struct Inventory {
   std::string engine;
   uint64_t incarnation = 0;
-  // Where engines tell that in place of an incarnation; the epoch if not.
+  // For engines that report it instead of an incarnation; else the epoch.
   TimePoint started_at;
-  uint64_t sequence = 0;  // Ascends with each answer of one incarnation.
+  uint64_t sequence = 0;  // Ascends with each answer of an incarnation.
   Fence highest_fence;
   uint64_t memory_bytes = 0;
   uint64_t kv_reserved_bytes = 0;  // For all slots at once.
   int slots = 0;
-  // Lagging load report.
+  // Load report; lags behind the engine.
   int running = 0;
   int queued = 0;
   std::vector<Replica> replicas;
   std::map<std::string, OrderResult> results;   // Recent orders by id.
   std::map<std::string, CheckpointTier> tiers;  // Absent: remote.
-  // Only of engines that count orders.
+  // Set only by engines that count orders.
   uint64_t accepted_orders = 0;
-  bool is_busy = false;  // A model's load or unload is under way.
+  bool is_busy = false;  // A model load or unload is in progress.
 
   Json ToJson(TimePoint now) const;
   static Inventory FromJson(const Json& json, TimePoint now);
 };
 
-// One engine as the host list describes it.
+// An engine's entry in the host list.
 struct EngineFacts {
   std::string name;
   std::string address;
--- a/placement/fleet_planner.h
+++ b/placement/fleet_planner.h
@@ -19,15 +19,15 @@
 
 namespace applehall {
 
-// Decides what all listed engines load and unload, while this host holds the
-// lease for them.
+// Decides which models all listed engines load and unload while this host holds
+// the lease for them.
 //
-// For engines that carry out one model order at a time and count the orders
-// they accepted. Each order names the count it was decided on, so an order that
-// is carried out late, or twice, changes nothing once another one was
-// accepted: what the planner counts as held is never less than what the
-// engine holds. Memory is reserved before an order is sent and is free again
-// only when a report, asked for after the order ended, says so.
+// For engines that execute one model order at a time and count the orders they
+// accepted. Each order states the count on which it was decided, so an engine
+// refuses an order that arrives late or twice once it has accepted another:
+// the planner never counts less memory as used than the engine uses. Memory is
+// reserved before an order is sent and freed only when a report that was
+// requested after the order ended confirms it.
 class FleetPlanner {
  public:
   // `token` and `self` make order ids unique.
@@ -36,43 +36,44 @@
   // Both must outlive the planner. Not thread-safe.
   void SetCatalogue(const std::map<std::string, CatalogueEntry>* catalogue,
                     const std::map<std::string, EngineClass>* classes);
-  // Engines that are not listed any more are forgotten. Not thread-safe.
+  // Replaces the listing; engines missing from it are removed. Not thread-safe.
   void SetServers(const EngineList& servers, TimePoint now);
-  // Requests a second that engines take which limit themselves. Such an engine
-  // counts as a part of a replica. Not thread-safe.
+  // Sets the requests per second that engines with a rate limit accept. Such an
+  // engine counts as a fraction of a replica. Not thread-safe.
   void SetLimits(std::map<std::string, double> limits) {
     limits_ = std::move(limits);
   }
-  // What one host has waiting and running. Not thread-safe.
+  // Handles one host's report of waiting and running requests. Not thread-safe.
   void TakeReport(const HostReport& report, TimePoint now);
-  // An engine's report, and its answer to an order. Not thread-safe.
+  // Handles an engine's report. Not thread-safe.
   void TakeInventory(const Inventory& inventory, TimePoint asked_at,
                      TimePoint now);
+  // Handles an engine's answer to an order. Not thread-safe.
   void TakeOrderResult(const std::string& engine, const std::string& order_id,
                        OrderResult result, TimePoint now);
-  // Emits the reports that are due and, if `may_order`, the orders decided
-  // now. Not thread-safe.
+  // Appends due report requests and, if `may_order`, new orders to `orders`.
+  // Not thread-safe.
   void Decide(bool may_order, TimePoint now, std::vector<OrderToSend>& orders);
 
-  // How a demand for `target` stands. Not thread-safe.
+  // Returns the status of demand for `target`. Not thread-safe.
   DemandAnswer Answer(const std::string& target, TimePoint now) const;
-  // What requests may be sent to `engine` for; its version grows with each
-  // change. Not thread-safe.
+  // Targets that `engine` can serve, and the version of its state, which grows
+  // with each change; zero if unknown. Not thread-safe.
   std::vector<std::string> ReadyOn(const std::string& engine) const;
   uint64_t VersionOf(const std::string& engine) const;
-  // Requests of all hosts under way at `engine`, as far as reported.
+  // Requests of all hosts in progress on `engine`, as far as reported.
   int RequestsAt(const std::string& engine) const {
     return usage_.RunningAt(engine);
   }
-  // Requests a second for what `engine` holds, its share where others hold it
-  // too. Not thread-safe.
+  // Requests per second for the targets that are ready on `engine`; of targets
+  // with several replicas, this engine's share. Not thread-safe.
   double ArrivalsAt(const std::string& engine, TimePoint now) const;
-  // An engine has seen a higher token than this planner's.
+  // True if an engine has seen a higher token than this planner's.
   bool is_superseded() const { return is_superseded_; }
-  // No order awaits its answer.
+  // True if no order awaits its answer.
   bool IsQuiet() const;
   FencingToken token() const { return token_; }
-  // Takes what happened since the last call. Not thread-safe.
+  // Returns and clears the events since the last call. Not thread-safe.
   std::vector<PlacementNote> TakeNotes() { return std::exchange(notes_, {}); }
   Json ToJson(TimePoint now) const;
 
@@ -82,7 +83,7 @@
     State state = State::kReady;
     std::string base;
     uint64_t bytes = 0;
-    TimePoint since;  // Of the state.
+    TimePoint since;  // Time of the last change of state.
   };
   struct OpenOrder {
     std::string id;
@@ -95,40 +96,40 @@
     bool is_unanswered = false;
     int store_loads_at_start = 0;
   };
-  // One line of an engine's part in the index of holdings.
+  // One of an engine's entries in the index of holdings.
   struct IndexedName {
     std::string name;
-    bool is_copy = false;  // Outside accelerator memory; else it is held.
+    bool is_copy = false;  // In host memory or on disk, not a holding.
     State state = State::kReady;
   };
   struct Engine {
     ListedServer listed;
-    bool is_known = false;      // Its count of orders and its holdings are.
-    bool is_rejecting = false;  // It is not the incarnation that is listed.
+    bool is_known = false;      // Order count and holdings are up to date.
+    bool is_rejecting = false;  // Not the listed incarnation.
     uint64_t accepted_orders = 0;
     std::map<std::string, Holding> holdings;
     std::optional<OpenOrder> model_order;
-    // The one call that awaits its answer, of either kind of order.
+    // The single call, for a model or an adapter, that awaits its answer.
     std::optional<OpenOrder> call;
-    TimePoint report_at;       // When to ask for the next report.
-    TimePoint report_sent_at;  // Of the report under way; epoch if none.
-    // The first question since the last answer; epoch if none is open.
+    TimePoint report_at;       // When to request the next report.
+    TimePoint report_sent_at;  // Of the open report request; else epoch.
+    // Send time of the first request since the last answer; epoch if none.
     TimePoint unanswered_since;
-    bool is_silent = false;  // It has not answered for too long.
+    bool is_silent = false;  // No answer for kSilence.
     std::string reserved_for;
     TimePoint reserved_until;
-    bool is_making_room = false;  // Something is unloaded for `reserved_for`.
-    // The accepted unload that the load under way was sent after, until the
-    // engine's answer shows that it is done.
+    bool is_making_room = false;  // Unloads a model for `reserved_for`.
+    // The accepted unload that the open load was sent after, until the engine's
+    // answer to the load confirms that it is done.
     std::optional<OpenOrder> unload_before;
     int refused_loads = 0;  // Since that unload was accepted.
     TimePoint load_again_at;
     uint64_t version = 1;
-    // What `index_` says of this engine, to be taken back when it changes.
+    // This engine's entries in `index_`, removed when the engine changes.
     std::vector<IndexedName> indexed;
     bool is_index_stale = true;
   };
-  // A way to bring a model onto one engine.
+  // A way to load a model onto one engine.
   struct Option {
     Engine* engine = nullptr;
     CheckpointTier tier = CheckpointTier::kRemote;
@@ -142,7 +143,7 @@
   uint64_t UsedBytes(const Engine& engine) const;
   CheckpointTier TierOn(const Engine& engine, const std::string& model) const;
   Duration LoadTime(const CatalogueEntry& entry, CheckpointTier tier) const;
-  // Where a model or adapter is, over all engines that stay.
+  // The engines that hold a model or adapter, without those that are leaving.
   struct Whereabouts {
     int ready = 0;
     int loading = 0;
@@ -164,7 +165,7 @@
                 TimePoint now) const;
   std::vector<std::string> ChooseVictims(const Engine& engine, uint64_t needed,
                                          TimePoint now) const;
-  // The best way found so far, and what stood nearest to one where none is.
+  // The best option found so far; without one, the highest reason against it.
   struct Search {
     std::optional<Option> best;
     PutOff put_off = PutOff::kNoEngine;
@@ -185,7 +186,7 @@
   void EndUnload(Engine& engine, const OpenOrder& unload, TimePoint now);
   bool TakeRefusedLoad(Engine& engine, const OpenOrder& call,
                        OrderResult result, TimePoint now);
-  // What stands in the way; kNone if an order was given.
+  // Returns why no order was sent; kNone if one was.
   PutOff PlaceModel(const CatalogueEntry& entry, double worth,
                     const std::string& reason, bool at_once_only, TimePoint now,
                     std::vector<OrderToSend>& orders);
@@ -196,9 +197,9 @@
   static int AdapterSlotsTaken(const Engine& engine);
   void NotePutOff(const std::string& target, PutOff reason);
   void ServeWaiting(TimePoint now, std::vector<OrderToSend>& orders);
-  // How many replicas an engine is worth: one, or less if it limits itself.
+  // Capacity of an engine in replicas: one, or less if it has a rate limit.
   double ShareOf(const std::string& engine) const;
-  // How many the engines are worth that are ready for `name`.
+  // Capacity in replicas of the engines on which `name` is ready.
   double CapacityFor(const std::string& name, const Whereabouts& where) const;
   static double Unmet(double rate, double replicas);
   static int MissingReplicas(double rate, double replicas);
@@ -215,7 +216,7 @@
                  std::vector<OrderToSend>& orders);
   void GiveUpCalls(TimePoint now);
   void NoteSilence(TimePoint now);
-  // Between reports of an engine that is carrying out a model order.
+  // Interval between reports of an engine that is executing a model order.
   Duration LoadPoll() const;
   TimePoint NextReport(const OpenOrder& order, TimePoint now) const;
   void AskForReports(TimePoint now, std::vector<OrderToSend>& orders);
@@ -237,26 +238,27 @@
   const std::map<std::string, CatalogueEntry>* catalogue_ = nullptr;
   const std::map<std::string, EngineClass>* classes_ = nullptr;
   std::map<std::string, Engine> engines_;
-  std::map<std::string, double> limits_;  // A second, by engine.
-  // Of all holdings and copies. Only what changed is indexed anew: with the
-  // whole index and all usage summed for each decision, one took 1.0 ms at 256
-  // engines in place of 0.08 (benchmark PlanFleet).
+  std::map<std::string, double> limits_;  // Requests per second by engine.
+  // Index of all holdings and copies. Only changed engines are indexed again:
+  // rebuilding the index and summing all usage for each decision took 1.0 ms at
+  // 256 engines instead of 0.08 ms.
   absl::flat_hash_map<std::string, Whereabouts> index_;
-  std::vector<std::string> stale_;  // Engines to be indexed anew.
-  // The engine that made room for a model last; to be checked when read.
+  std::vector<std::string> stale_;  // Engines to index again.
+  // The engine that last evicted for a model. May be out of date: readers check
+  // the engine's own state.
   absl::flat_hash_map<std::string, std::string> room_made_on_;
-  // Loads from the weight store under way; nothing if it must be counted.
+  // Cached number of open loads from the weight store; empty if stale.
   mutable std::optional<int> store_loads_;
-  // When a waiting target is looked at again, and when the store could bring
-  // one that no engine has at hand.
+  // When placement of a waiting target is tried again, and when the weight
+  // store can have delivered a target of which no engine has a copy.
   absl::flat_hash_map<std::string, TimePoint> next_look_;
   absl::flat_hash_map<std::string, TimePoint> store_turn_;
-  // Why a waiting target was not ordered when it was last looked at.
+  // Why no load of a waiting target was ordered at the last attempt.
   absl::flat_hash_map<std::string, PutOff> put_off_;
   TimePoint seeds_at_;
   TimePoint fills_at_;
   UsageTable usage_;
-  // Of each model, with its adapters; summed anew for each decision.
+  // Usage of a model and its adapters; summed again at most each kSumInterval.
   struct Usage {
     double rate = 0;
     double worth_rate = 0;
@@ -270,7 +272,7 @@
   uint64_t last_sequence_ = 0;
   std::deque<TimePoint> store_loads_begun_;
   double store_width_;
-  bool is_store_width_known_ = false;  // A load was slowed by others.
+  bool is_store_width_known_ = false;  // A load was slowed by concurrent ones.
   bool is_superseded_ = false;
   std::vector<PlacementNote> notes_;
 };
--- a/placement/load_predictor.h
+++ b/placement/load_predictor.h
@@ -8,17 +8,17 @@
 
 namespace applehall {
 
-// Predicts how long a load takes from the tier of its checkpoint, corrected
-// by the loads seen so far.
+// Predicts load times from the checkpoint's size and tier, corrected by the
+// loads observed so far.
 class LoadPredictor {
  public:
   // Requires: nothing. Not thread-safe.
   Duration Predict(uint64_t bytes, CheckpointTier tier) const;
-  // A load of `bytes` from `tier` took `took`. Not thread-safe.
+  // Records that a load of `bytes` from `tier` took `took`. Not thread-safe.
   void Observe(uint64_t bytes, CheckpointTier tier, Duration took);
 
  private:
-  // Bytes a second by tier, until loads are seen.
+  // Bytes per second by tier, before correction.
   static constexpr std::array<double, kCheckpointTiers> kAssumedRates = {
       8e9, 2e9, 5e8};
   std::array<double, kCheckpointTiers> correction_{1.0, 1.0, 1.0};
--- a/placement/ownership_table.h
+++ b/placement/ownership_table.h
@@ -11,10 +11,10 @@
 namespace applehall {
 
 // The log offset of the record that granted an ownership. Grows with every
-// grant, so an engine can tell an old owner from the present one.
+// grant, so an engine can refuse the orders of an earlier owner.
 using FencingToken = LogOffset;
 
-// One process on one host. A host that restarts is another incarnation.
+// One process on one host. A restarted host has a new incarnation.
 struct Incarnation {
   std::string host;
   uint64_t number = 0;
@@ -23,7 +23,7 @@
   auto operator<=>(const Incarnation&) const = default;
 };
 
-// An earlier owner that has not said that it stopped giving orders.
+// An earlier owner that has not released the group and may still send orders.
 struct Predecessor {
   Incarnation owner;
   FencingToken token = 0;
@@ -31,7 +31,7 @@
 };
 
 struct GroupOwnership {
-  Incarnation owner;  // Empty host: nobody.
+  Incarnation owner;  // Empty host: no owner.
   FencingToken token = 0;
   TimePoint claimed_at;
   std::vector<Predecessor> predecessors;
@@ -39,16 +39,16 @@
   bool is_owned() const { return !owner.host.empty(); }
 };
 
-// Who may order the engines of each group, as the fold of claims and
-// releases on the log. Compare-and-set on the token decides races.
+// The owner of each group's engines, as the fold of claims and releases on the
+// log. Concurrent claims are resolved by compare-and-set on the token.
 class OwnershipTable {
  public:
-  // A claim is valid if `previous` is the group's token at that point of the
-  // log. Requires: offsets ascend. Not thread-safe.
+  // Applies a claim. Returns false if `previous` is not the group's token at
+  // that point of the log. Requires: offsets ascend. Not thread-safe.
   bool Claim(LogOffset offset, TimePoint time, const std::string& group,
              const Incarnation& owner, FencingToken previous);
-  // The holder of `token` says that none of its orders is under way and that
-  // it sends no more. Not thread-safe.
+  // Applies a release: the holder of `token` has no order in flight and sends
+  // no more. Not thread-safe.
   void Release(TimePoint time, const std::string& group, FencingToken token);
 
   // Null if the group was never claimed. Not thread-safe.
--- a/placement/store_budget.h
+++ b/placement/store_budget.h
@@ -9,38 +9,42 @@
 
 namespace applehall {
 
-// A part of one data centre's share of the weight store, lent to another.
+// A part of one data centre's share of the weight store that is lent to
+// another.
 struct StoreGrant {
   std::string id;
-  double loads = 0;  // Moved for good.
-  int slots = 0;     // Back with the lender at `expires`, returned or not.
+  double loads = 0;  // Transferred permanently.
+  int slots = 0;     // Revert to the lender at `expires`.
   TimePoint expires;
 };
 
-// One owner's share of the weight store's rate and full-speed slots.
+// One owner's share of the weight store's load rate (a token bucket) and of its
+// full-speed slots.
 //
-// The shares of all owners add up to the store's limits, so nobody has to ask
-// before a load. An idle owner lends: loads move to the borrower, slots go
-// for a limited time. A grant that is lost, or whose borrower dies, costs the
-// lender a little until it expires; it is never used twice.
+// The shares of all owners add up to the store's limits, so a load needs no
+// coordination. An idle owner lends: loads are transferred to the borrower,
+// slots for a limited time. A grant that is lost, or whose borrower crashes,
+// costs the lender capacity until it expires; it is never used twice.
 class StoreBudget {
  public:
   StoreBudget() = default;
-  // `rate` in loads a second, `slots` in loads at once.
+  // `rate` in loads per second, `slots` in concurrent loads.
   StoreBudget(double rate, double slots, TimePoint now);
 
-  // Changes the share, keeping what was saved. Not thread-safe.
+  // Changes the share and keeps the accumulated loads. Not thread-safe.
   void SetShare(double rate, double slots);
-  // Takes one load and one slot. False if either is spent. Not thread-safe.
+  // Takes one load and one slot. Returns false if either is exhausted. Not
+  // thread-safe.
   bool TryBegin(TimePoint now);
-  // A load begun here ended. Not thread-safe.
+  // Returns the slot of a load that ended. Not thread-safe.
   void End();
-  // Lends what is idle here, at most one load and one slot. Not thread-safe.
+  // Lends unused capacity, at most one load and one slot; empty if there is
+  // none. Not thread-safe.
   std::optional<StoreGrant> Lend(const std::string& id, TimePoint now);
-  // Takes a grant; one id counts once. Not thread-safe.
+  // Adds a grant to the share; a repeated id has no effect. Not thread-safe.
   void Accept(const StoreGrant& grant, TimePoint now);
 
-  // How long until a load could begin, if nothing is borrowed.
+  // Time until the rate allows a load, without borrowing.
   Duration WaitFor(TimePoint now) const;
   double loads_saved(TimePoint now) const;
   int slots_in_use() const { return in_use_; }
--- a/placement/usage_table.h
+++ b/placement/usage_table.h
@@ -13,19 +13,19 @@
 
 namespace applehall {
 
-// What one host tells the placement owner: levels, but for the arrivals, so
-// that a lost or doubled report does little harm.
+// One host's report to the placement owner. All values but the arrivals are
+// levels, so a lost or duplicated report does little harm.
 struct HostReport {
   struct Waiting {
     std::string target;
     int count = 0;
-    double worth = 0;  // Of all that wait.
+    double worth = 0;  // Sum over all waiting requests.
     Duration slack{0};
   };
   struct Arrivals {
     std::string target;
     int count = 0;     // Since the last report.
-    double worth = 0;  // Of all of them.
+    double worth = 0;  // Sum over all arrivals.
   };
   struct Running {
     std::string engine;
@@ -38,12 +38,12 @@
   std::vector<Running> running;
 
   Json ToJson() const;
-  // Malformed rows are left out. Requires: nothing. Thread-safe.
+  // Skips malformed rows. Requires: nothing. Thread-safe.
   static HostReport FromJson(const std::string& host, const Json& json);
 };
 
-// What all hosts have waiting and running, and how often each target is
-// asked for.
+// Waiting and running requests of all hosts, and the request rate of each
+// target.
 class UsageTable {
  public:
   struct Demand {
@@ -52,22 +52,22 @@
     double worth = 0;
   };
 
-  // Not thread-safe.
+  // Applies one host's report. Not thread-safe.
   void Take(const HostReport& report, TimePoint now);
-  // Forgets hosts that have been silent. Not thread-safe.
+  // Removes hosts whose last report is too old. Not thread-safe.
   void Expire(TimePoint now);
-  // Targets with requests waiting, most worth first. Not thread-safe.
+  // Targets with waiting requests, highest worth first. Not thread-safe.
   std::vector<Demand> Waiting() const;
   bool IsWaitedFor(const std::string& target) const;
-  // Requests for `target` under way at `engine`. Not thread-safe.
+  // Requests for `target` in progress on `engine`. Not thread-safe.
   int RunningOn(const std::string& engine, const std::string& target) const;
   int Running(const std::string& target) const;
-  // Of all targets, under way at `engine`.
+  // Requests for all targets in progress on `engine`.
   int RunningAt(const std::string& engine) const;
-  // Requests a second, and their worth a second, of the last seconds.
+  // Requests per second, and their worth per second, over the last seconds.
   double Rate(const std::string& target, TimePoint now) const;
   double WorthRate(const std::string& target, TimePoint now) const;
-  // Every target that was asked for lately, by name.
+  // Names of all targets with recent requests, sorted.
   std::vector<std::string> Targets() const;
 
  private:
@@ -87,15 +87,15 @@
   using Names = std::pair<std::string, std::string>;
 
   static double Decay(TimePoint from, TimePoint now);
-  // Adds (or takes away) what one host reports, so that no question has to go
-  // through the reports of all hosts.
+  // Adds (sign 1) or subtracts (sign -1) one host's report to the totals, so
+  // that queries need not scan the reports of all hosts.
   void Add(const HostReport& report, int sign);
 
   absl::flat_hash_map<std::string, HostLevel> hosts_;
   std::map<std::string, Level> waiting_;
   absl::flat_hash_map<Names, int> running_on_;
   absl::flat_hash_map<std::string, int> running_;
-  absl::flat_hash_map<std::string, int> running_at_;  // By engine.
+  absl::flat_hash_map<std::string, int> running_at_;  // Key: engine.
   std::map<std::string, Flow> flows_;
 };
 
