--- a/placement/engine_owner.cc
+++ b/placement/engine_owner.cc
@@ -9,16 +9,16 @@
 namespace applehall {
 namespace {
 
-// A demand not repeated for this long no longer stands.
+// A demand expires if it is not repeated within this time.
 constexpr Duration kDemandLife = std::chrono::seconds(2);
 constexpr Duration kSendWithin = std::chrono::seconds(2);
 constexpr Duration kFailedLoadBackoff = std::chrono::seconds(3);
-// A replica younger than this is not evicted: whoever asked for it has not
-// had time to use it.
+// A replica younger than this is not evicted: the requests it was loaded for
+// have not had time to reach it.
 constexpr Duration kLeastResidency = std::chrono::seconds(3);
 constexpr Duration kEvictionHorizon = std::chrono::minutes(2);
 constexpr double kEvictionPenaltySeconds = 1.0;
-// The oracle keeps what returns within this many load times.
+// The oracle keeps a model that is used again within this many load times.
 constexpr int kOracleKeepLoads = 20;
 constexpr int kLoadingInspectSpeedup = 5;
 
@@ -80,7 +80,7 @@
     state.facts = facts;
     state.ledger = MemoryLedger(facts.checks_fence, settings_.order_horizon);
   }
-  // What is left has departed, and its loads with it.
+  // The remaining engines have departed; their loads have ended.
   for (const auto& [name, engine] : engines_) {
     CheckpointTier tier = CheckpointTier::kRemote;
     for (const auto& [target, holding] : engine.ledger.holdings()) {
@@ -132,8 +132,8 @@
       return;
     case LedgerChange::Kind::kLoadFailed:
       EndStoreLoad(name, change.name, tier);
-      // An order that was refused, or never arrived, says nothing about the
-      // model; it is decided anew at once.
+      // An order that was refused or lost does not mean that the model cannot
+      // be loaded, so it is retried without backoff.
       if (change.detail == OrderResultName(OrderResult::kLoadFailed)) {
         failed_until_[change.name] = now + kFailedLoadBackoff;
       }
@@ -161,7 +161,7 @@
   }
   for (const Replica& replica : inventory.replicas) {
     if (replica.state != ReplicaState::kReady) continue;
-    // A replica that was never called reports the age of its load.
+    // A replica that was never used reports the time of its load as last use.
     const Holding* holding = engine.ledger.Find(replica.name);
     if (holding == nullptr || replica.last_used <= holding->settled_at) {
       continue;
@@ -175,9 +175,9 @@
   unfenced_blocked_ = blocked;
 }
 
-// An engine that does not check the fence obeys an earlier owner as well, until
-// that one has released it or is known to be gone; what it was ordered by then
-// shows only in a later inventory.
+// An engine that does not check fences also executes the orders of an earlier
+// owner until that owner has released the group or is confirmed gone. Their
+// effect shows only in an inventory requested after that.
 bool EngineOwner::IsSharedWithEarlierOwner(const EngineState& engine) const {
   if (engine.facts.checks_fence) return false;
   return unfenced_blocked_ || engine.last_asked < unfenced_unblocked_at_;
@@ -185,14 +185,14 @@
 
 bool EngineOwner::MayOrder(const EngineState& engine) const {
   if (engine.facts.is_leaving || !engine.ledger.is_known()) return false;
-  // Two owners could fill the same memory.
+  // Otherwise two owners could fill the same memory.
   return !IsSharedWithEarlierOwner(engine);
 }
 
 ReplicaBounds EngineOwner::BoundsFor(const std::string& target,
                                      const PlacementPolicy& policy) const {
   ReplicaBounds bounds = policy.bounds->For(target);
-  // A base model may be wanted by its adapters only.
+  // A base model may have demand through its adapters only.
   for (const auto& [key, level] : demands_) {
     const auto it = policy.catalogue->find(level.demand.target);
     if (it == policy.catalogue->end() || it->second.base != target) continue;
@@ -297,7 +297,7 @@
                                  const ReplicaCount& count,
                                  const ReplicaBounds& bounds) const {
   int desired = std::max(1, bounds.least);
-  // Requests wait although replicas are ready: they are full.
+  // Requests wait although replicas are ready, so the replicas are full.
   if (count.ready > 0 && demand.waiting > count.slots / count.ready) {
     desired = std::max(desired, count.ready + 1);
   }
@@ -315,14 +315,14 @@
   if (failed != failed_until_.end() && failed->second > now) return;
   const ReplicaBounds bounds = BoundsFor(demand.target, policy);
   const ReplicaCount count = Count(demand.target);
-  // An owner that was superseded and does not know it yet may load one more on
-  // each engine that obeys it; the bound holds for both together.
+  // A superseded owner that has not noticed it yet may load one more replica on
+  // each engine that accepts its orders; the bound covers both owners together.
   const int allowed = quota(demand.target, bounds.most) - count.foreign;
   const int desired = DesiredReplicas(demand, count, bounds);
   if (count.held >= std::min(allowed, desired)) return;
   TryLoad(demand, entry->second, store, policy, now, orders);
   if (entry->second.base.empty()) return;
-  // An adapter needs its base model first, on some engine of this group.
+  // An adapter needs its base model on an engine of this group.
   const ReplicaCount base = Count(entry->second.base);
   if (base.ready + base.loading > 0 || base.held > base.unknown) return;
   TargetDemand for_base = demand;
@@ -416,7 +416,7 @@
   load_tiers_[LoadKey(engine.facts.name, entry.name)] = tier;
   Note("load_ordered", engine.facts.name, entry.name,
        demand.is_prewarm
-           ? "expected soon"
+           ? "prewarm"
            : absl::StrCat(demand.waiting, " waiting, worth ", demand.worth));
   orders.push_back({engine.facts.name, engine.facts.address, order});
   engine.next_inspect =
@@ -448,7 +448,7 @@
          kLeastResidency;
 }
 
-// A base model may go if its adapters may; they go first.
+// A base model is evictable only if all its adapters are; they go first.
 bool EngineOwner::IsEvictable(const EngineState& engine,
                               const std::string& name,
                               const Holding& holding) const {
@@ -486,8 +486,8 @@
   }
 }
 
-// Unloads the replica whose return costs least: its load time, times the
-// chance that it is called soon, for each byte it frees.
+// Unloads the replica with the lowest eviction cost: load time, times the
+// probability of use within the horizon, per byte freed.
 void EngineOwner::EvictOne(EngineState& engine, const CatalogueEntry& entry,
                            const PlacementPolicy& policy, TimePoint now,
                            std::vector<OrderToSend>& orders) {
@@ -507,7 +507,7 @@
     least = cost;
   }
   if (victim.empty()) return;
-  const std::string reason = absl::StrCat("room for ", entry.name);
+  const std::string reason = absl::StrCat("evicted for ", entry.name);
   bool has_adapters = false;
   std::vector<std::string> adapters;
   for (const auto& [name, holding] : engine.ledger.holdings()) {
@@ -518,7 +518,7 @@
   for (const std::string& name : adapters) {
     Unload(engine, name, reason, now, orders);
   }
-  // The engine refuses to drop a base model under its adapters.
+  // The engine refuses to unload a base model that still has adapters.
   if (!has_adapters) Unload(engine, victim, reason, now, orders);
 }
 
@@ -583,8 +583,8 @@
         now + settings_.inspect_interval /
                   (HasLoading(engine.ledger) ? kLoadingInspectSpeedup : 1);
     EngineOrder order = MakeOrder(engine, OrderKind::kInspect, "", now);
-    // A plain inspection only raises the token. One above an order that was
-    // never answered settles it: the engine refuses it from then on.
+    // Sequence 0 raises only the engine's token. A sequence above that of an
+    // unanswered order settles it: the engine refuses it from then on.
     if (!engine.ledger.HasUnsettled(now - settings_.unsettled_after)) {
       order.fence.sequence = 0;
     }
@@ -613,7 +613,7 @@
   if (settings_.keep_policy != KeepPolicy::kOracle) {
     return idle_policy_.PlanFor(target, load_time, policy.weights);
   }
-  // The oracle drops a model at once and has it back just in time.
+  // The oracle unloads a model at once and reloads it just in time.
   IdlePlan plan;
   const TimePoint last = idle_policy_.LastUse(target);
   const TimePoint next = settings_.next_use(target, now);
@@ -678,7 +678,7 @@
     answer.status = DemandStatus::kUnknown;
     return answer;
   }
-  // An earlier owner may load it on an engine that only it may order.
+  // An earlier owner may load it on an engine that this owner may not order.
   const bool is_left_to_earlier =
       count.foreign > 0 && count.held + count.foreign >= allowed;
   if (allowed <= 0 || is_left_to_earlier) return answer;
--- a/placement/fleet_planner.cc
+++ b/placement/fleet_planner.cc
@@ -14,107 +14,107 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Kept free on each engine, for adapters whose load is not known to have
-// failed or succeeded; the largest seen have 66 MB.
+// Memory kept free on each engine for adapters whose load outcome is unknown;
+// the largest adapters have 66 MB.
 constexpr uint64_t kMemoryMargin = 300'000'000;
-// By how much a report may lag behind the engine.
+// Maximum lag of a report behind the engine's state.
 constexpr Duration kReportLag = milliseconds(400);
-// Between reports while the end of an order is awaited. A model whose load is
-// noticed late keeps its requests waiting that long; reports lag by 100 ms.
+// Interval between reports while an order is due to end. It delays the requests
+// for a model that has just been loaded; reports lag by another 100 ms.
 constexpr Duration kEndPoll = milliseconds(60);
-// A report lags by 100 ms, and an order is taken some ms after it was sent: a
-// report asked for sooner still shows the load under way, and is asked for in
-// vain.
+// Reports lag by 100 ms and an order is accepted some ms after it was sent, so
+// a report requested sooner after the expected end still shows the load in
+// progress.
 constexpr Duration kFirstEndPoll = milliseconds(130);
-// A report that has not come by then was lost.
+// A report request without an answer by then counts as lost.
 constexpr Duration kReportTimeout = milliseconds(1500);
-// While a model is being loaded, to notice in time that its engine has crashed.
+// Interval between reports during a load, to detect a crash of the engine.
 constexpr Duration kLoadPoll = milliseconds(500);
-// With more loads under way the owner asks each engine less often. At 256
-// engines it carried out 700 questions a second, more than anything else it did
-// at the height of a day.
+// With more open orders than this the owner polls each engine less often. At
+// 256 engines it sent 700 report requests per second at peak load, more than
+// any other work.
 constexpr int kLoadsAtFullPoll = 32;
-// The end of a late order is seen a sixth of its lateness later at most.
+// A late order is polled at intervals of its lateness divided by this.
 constexpr int kLatePollShare = 6;
-// Reports take some ms. An engine that has not answered for this long has
-// crashed, or cannot be reached from here: no longer than a lost packet and its
-// first repetition take, and a sixth of the time in which its listing lapses.
+// Reports take some ms. An engine without an answer for this long has crashed
+// or is unreachable from this host. The time covers a lost packet and its first
+// retransmission, and is a sixth of the time in which the listing expires.
 constexpr Duration kSilence = milliseconds(600);
-// Loads sent ahead of the news that their room is free, at most.
+// Maximum number of loads sent before the unload ahead of them is confirmed.
 constexpr int kMostRefusedLoads = 3;
-// Without any order under way, reports only find what was missed.
+// Without an open order, reports only detect missed changes.
 constexpr Duration kIdleReport = seconds(10);
 constexpr Duration kSendWithin = milliseconds(500);
-// Beyond the time to send and the driver's own timeout of a second.
+// Longer than kSendWithin plus the driver's timeout of a second.
 constexpr Duration kCallLife = seconds(3);
-// An unload of a model that nobody uses, as measured on loopback engines.
+// Time to unload a model without requests.
 constexpr Duration kUnloadTime = milliseconds(60);
-// What unloading a model with requests under way costs on top: their rest.
+// Extra cost of unloading a model with requests in progress, which must end.
 constexpr double kBusyVictimSeconds = 3.0;
-// An adapter's load is not announced; 6 to 29 ms are usual, and a request
-// that comes too early is turned away unharmed.
+// Engines do not announce the end of an adapter's load. It usually takes 6 to
+// 29 ms, and a request that arrives too early is rejected without harm.
 constexpr Duration kAdapterLoad = milliseconds(40);
 constexpr int kAdaptersAtOnce = 4;
-// A replica younger than this is not evicted: whoever asked for it has not
-// had time to use it.
+// A replica younger than this is not evicted: the requests it was loaded for
+// have not had time to reach it.
 constexpr Duration kLeastResidency = seconds(2);
-// A target that waits is looked at again after this long, or when it is new:
-// with hundreds waiting each look costs some microseconds an engine.
+// Interval between attempts to place a waiting target; a new one is tried at
+// once. An attempt costs some microseconds per engine, and hundreds may wait.
 constexpr Duration kLookInterval = milliseconds(40);
 constexpr size_t kMostLooks = 4096;
-// Free memory is looked for this often: a load takes ten times as long. At
-// most so many loads begin each time, as each is a call of the owner's.
+// Interval between searches for free memory, a tenth of a load's time. The
+// number of loads started each time is limited, as each is a call by the owner.
 constexpr Duration kFillInterval = milliseconds(100);
 constexpr int kMostFillsAtOnce = 16;
-// Rates follow a window of 4 s, so that sums of this age are as good as new;
-// decisions come each 25 ms and with each new demand.
+// Decisions are made every 25 ms and on each new demand, but rates cover a
+// window of 4 s, so sums of this age are accurate enough.
 constexpr Duration kSumInterval = milliseconds(100);
 constexpr Duration kSeedInterval = milliseconds(250);
-// Orders victims of equal worth by age; too little to outweigh a request.
+// Breaks ties between victims by age; too small to outweigh a request.
 constexpr double kAgeShare = 0.0001;
 constexpr double kOthersShare = 0.01;
 constexpr int kMostOthers = 5;
-// An engine is kept for the model its victim was unloaded for this long.
+// How long an engine is reserved for the model that a victim was unloaded for.
 constexpr Duration kReservation = seconds(3);
-// Loads at once that the weight store is taken to bring at full speed until
-// load times show otherwise: doubled as long as loads are as fast as told, up
-// to the most. Four from the start took 53 s each where the store brings one in
-// 13 s, and each kept an engine from all other loads meanwhile.
+// Assumed number of concurrent loads that the weight store serves at full
+// speed: doubled up to the maximum while loads take the configured time,
+// lowered when they are slower. Starting with four took 53 s per load on a
+// store that serves one in 13 s, and blocked the engine of each for other
+// loads.
 constexpr double kFirstStoreWidth = 2.0;
 constexpr double kMostStoreWidth = 4.0;
-// A load this much slower than told was slowed by the others beside it.
+// Ratio to the configured time above which a load was slowed by others.
 constexpr double kSlowedLoad = 1.3;
 constexpr Duration kStoreWindow = seconds(5);
-// A model asked for this often has a second replica, so that the loss of an
-// engine does not stop it.
+// Requests per second above which a model gets a second replica, to stay
+// available when an engine fails.
 constexpr double kBusyRate = 0.7;
 constexpr int kBusyReplicas = 2;
-// Requests under way for each slot of its engines beyond which a model gets
-// one more replica.
+// Running requests per slot of its engines above which a model gets one more
+// replica.
 constexpr double kBusyShare = 0.5;
-// How a loss of worth elsewhere weighs against a second of waiting: at this
-// weight a model that earns as much as waits is as good as 3 s away.
+// Weight of lost worth against a second of waiting: a victim worth as much as
+// the waiting requests costs as much as a delay of 3 s.
 constexpr double kLossWeight = 3.0;
 // The share of a model's worth that counts as lost with one replica while
-// others take its requests: of a busy model's last two, and of any further one.
-// With a lower first share the last but one replica of busy models came and
-// went every few seconds, and a third of their requests met a model that was
-// not ready.
+// others serve its requests: for one of a busy model's last two replicas, and
+// for any further one. With a lower first share busy models' second replicas
+// come and go every few seconds, and a third of their requests miss them.
 constexpr double kReplicaLoss = 0.5;
 constexpr double kSpareLoss = 0.05;
-// Requests a second that one replica takes. An engine reads some 20 prompt
-// tokens in a ms and a request brings about 1,500: at 5 a second a third of its
-// time goes into prompts, and streams beside them begin to pause beyond 0.3 s.
+// Requests per second that one replica serves. An engine reads about 20 prompt
+// tokens per ms and a request has about 1,500: at 5 per second prompts take a
+// third of its time, and concurrent streams begin to stall for over 0.3 s.
 constexpr double kRatePerReplica = 5.0;
-// Of an engine that takes next to nothing, in replicas.
+// Lower bound of an engine's capacity in replicas.
 constexpr double kLeastCapacity = 0.01;
-// How long a further replica is taken to be of use.
+// Assumed time for which a further replica is useful.
 constexpr double kReplicaHorizonSeconds = 3.0;
-// A busy model's second replica earns this share of its worth a second.
+// Share of a busy model's worth per second that a second replica adds.
 constexpr double kReplicaWorth = 0.15;
-// Worth of a copy nobody has asked for yet: about one request's.
+// Worth of a copy without demand so far: about that of one request.
 constexpr double kSeedWorth = 3.0;
-// Sizes and load times by tier until the platform tells them.
+// Load times by tier where the catalogue has none.
 constexpr std::array<Duration, kCheckpointTiers> kAssumedLoadTimes = {
     milliseconds(1300), milliseconds(2000), seconds(8)};
 
@@ -139,7 +139,7 @@
   classes_ = classes;
 }
 
-// ---- What is known ----
+// ---- Catalogue, index and queries ----
 
 const CatalogueEntry* FleetPlanner::EntryOf(const std::string& name) const {
   if (catalogue_ == nullptr) return nullptr;
@@ -187,7 +187,7 @@
 void FleetPlanner::Index(const std::string& id, Engine& engine) {
   engine.is_index_stale = false;
   if (engine.listed.is_leaving || engine.is_rejecting) return;
-  // Kept in the order of the ids, so that every run decides alike.
+  // Sorted by id, so that decisions are deterministic.
   const auto add = [&id](std::vector<std::string>& ids) {
     const auto place = std::lower_bound(ids.begin(), ids.end(), id);
     if (place != ids.end() && *place == id) return false;
@@ -232,7 +232,7 @@
 void FleetPlanner::MarkStale(Engine& engine) {
   store_loads_.reset();
   engine.is_index_stale = true;
-  stale_.push_back(engine.listed.id);  // Twice does no harm.
+  stale_.push_back(engine.listed.id);  // Duplicates are harmless.
 }
 
 const FleetPlanner::Whereabouts& FleetPlanner::WhereIs(
@@ -341,7 +341,7 @@
     if (!server.is_engine) continue;
     Engine& engine = engines_[id];
     const TimePoint started_at = engine.listed.started_at;
-    // A report may have told of a later life than the listing does.
+    // A report may show a later incarnation than the listing.
     if (StartedAfter(started_at, server.started_at)) continue;
     if (StartedAfter(server.started_at, started_at)) StartAnew(engine);
     const bool was_leaving = engine.listed.is_leaving;
@@ -354,7 +354,7 @@
     engine.listed.started_at = std::max(started_at, server.started_at);
     if (was_leaving != server.is_leaving) Changed(engine);
     if (!engine.is_known || !engine.model_order) continue;
-    // The listing follows an order's end faster than the next report.
+    // The listing can show the end of an order before the next report is due.
     const OpenOrder& order = *engine.model_order;
     const bool is_listed = server.models.contains(order.name);
     const bool is_done =
@@ -364,11 +364,11 @@
   }
 }
 
-// The engine has started again: it holds nothing, counts its orders anew and
-// knows of none that is under way. Held against it, its earlier life's count
-// would make each report look old, and no order would be given again.
+// Resets an engine that has restarted: it holds nothing, has no open order and
+// counts its orders from zero. With the earlier incarnation's count each report
+// would look outdated, and the engine would never get an order again.
 void FleetPlanner::StartAnew(Engine& engine) {
-  Note("engine_restarted", engine.listed.id, "", "it tells a later start");
+  Note("engine_restarted", engine.listed.id, "", "later start time");
   Engine fresh;
   fresh.listed = std::move(engine.listed);
   fresh.listed.models.clear();
@@ -388,8 +388,8 @@
       Engine& engine = engines_.at(id);
       const auto it = engine.holdings.find(row.target);
       if (it == engine.holdings.end()) continue;
-      // A host waits for what should be ready: it was turned away, or missed
-      // the plan. The engine is asked, and the plan is told again.
+      // The engine rejected the host's request, or the host missed the plan.
+      // Requests a report, after which the plan is sent again.
       if (it->second.state != State::kReady ||
           now - it->second.since < kReportLag) {
         continue;
@@ -408,8 +408,8 @@
   if (StartedAfter(started_at, inventory.started_at)) return;
   if (StartedAfter(inventory.started_at, started_at)) StartAnew(engine);
   engine.listed.started_at = std::max(started_at, inventory.started_at);
-  engine.unanswered_since = TimePoint{};  // Whichever question this answers.
-  if (asked_at < engine.report_sent_at) return;  // Crossed by a later one.
+  engine.unanswered_since = TimePoint{};  // Any answer shows a live engine.
+  if (asked_at < engine.report_sent_at) return;  // A later request is open.
   engine.report_sent_at = TimePoint{};
   engine.report_at = now + kIdleReport;
   if (inventory.accepted_orders < engine.accepted_orders) {
@@ -429,8 +429,8 @@
       order.is_unanswered = false;
       order.is_accepted = true;
     } else if (asked_at - order.sent_at >= kReportLag) {
-      // Not accepted so far. The next order is decided on the same count, so
-      // of both at most one is carried out.
+      // Not accepted so far. The next order states the same count, so at most
+      // one of the two is executed.
       Note("order_lost", inventory.engine, order.name, "not accepted");
       DropCall(engine, OpenOrder(order), now);
     }
@@ -439,20 +439,20 @@
   DropAbsent(engine, inventory, asked_at);
   if (engine.model_order) {
     OpenOrder& order = *engine.model_order;
-    // The report counts the order (an older one was put aside above), so it
-    // was written after the order was accepted, however much it lags.
+    // The report's count includes the order (outdated reports return above), so
+    // it was written after the order was accepted, whatever its lag.
     if (order.is_accepted && !inventory.is_busy) {
       EndModelOrder(engine, now);
     } else {
       engine.report_at = NextReport(order, now);
     }
   } else if (inventory.is_busy) {
-    // An order of an earlier owner; what it does is seen when it is done.
+    // An order of an earlier owner; reports show its effect when it ends.
     engine.report_at = now + kEndPoll;
   }
-  // What an engine loads for an earlier owner stands in no list until it is
-  // done; counted as free, its place would be ordered a second time and the
-  // engine would crash.
+  // A load in progress for an earlier owner is not in the report until it ends.
+  // If its memory counted as free, another load would be ordered into it and
+  // the engine would crash.
   engine.is_known = !inventory.is_busy || engine.model_order.has_value();
   Changed(engine);
 }
@@ -482,7 +482,7 @@
       }
     } else if (holding.state == State::kUnloading && !inventory.is_busy &&
                asked_at - holding.since >= kReportLag) {
-      // The unload never happened.
+      // The unload was not executed.
       holding.state = State::kReady;
       holding.since = now;
     }
@@ -511,7 +511,7 @@
     if (is_awaited) Note("load_failed", engine.listed.id, item.first, "absent");
     return true;
   });
-  // Adapters leave with their model.
+  // Adapters are unloaded with their model.
   std::erase_if(engine.holdings, [&](const auto& item) {
     return !item.second.base.empty() &&
            !engine.holdings.contains(item.second.base);
@@ -536,8 +536,8 @@
   }
 }
 
-// The store slows every load beyond those it brings at full speed, in
-// proportion; from how slow one was and how many there were follows its width.
+// Beyond its width the weight store slows all loads in proportion to their
+// number, so the width is the number of loads divided by the slowdown.
 void FleetPlanner::LearnStoreWidth(const OpenOrder& order, TimePoint now) {
   if (!policies_.Has(Policy::kStoreWidth)) return;
   if (order.tier != CheckpointTier::kRemote) return;
@@ -574,10 +574,9 @@
   order.base = entry.base;
   order.bytes = entry.bytes;
   order.send_by = now + kSendWithin;
-  // Guards against a report that lags: loads of an earlier owner, or ones that
-  // were never answered, would be loaded on top of, and the engine would crash.
-  // An order that was decided on another count than the engine's is refused,
-  // so what was known at the decision is all that the engine holds.
+  // Reports lag and may miss loads of an earlier owner or without an answer; a
+  // load on top of those would crash the engine. It refuses an order with
+  // another count than its own, so an accepted one was decided on all it holds.
   order.after_orders = engine.accepted_orders;
 
   OpenOrder open;
@@ -670,10 +669,10 @@
       Accept(engine, call);
       return;
     case OrderResult::kDone:
-      // Nothing had to be done, or it is done already; whether the engine
-      // counts it, its next report says.
+      // The engine had nothing to do or has finished already. Its next report
+      // shows whether it counted the order.
       if (!is_model && call.kind == OrderKind::kUnload) {
-        // The usual answer: an adapter that nobody uses is gone at once.
+        // The usual answer: an unused adapter is unloaded at once.
         Accept(engine, call);
         return;
       }
@@ -706,18 +705,19 @@
       DropCall(engine, call, now);
       return;
     default:
-      // Refused: the count differs, or another order is under way.
+      // Refused: the count differs, or another order is in progress.
       DropCall(engine, call, now);
       engine.is_known = false;
-      // Whatever the next report counts is taken, be it less.
+      // Accepts the count of the next report even if it is lower.
       engine.accepted_orders = 0;
       engine.report_at = now + kReportLag;
       return;
   }
 }
 
-// A call without any answer, not even that there was none, was lost in this
-// process; without this the engine would get no order again.
+// Ends calls for which neither an answer nor a timeout was reported. Such a
+// call was lost in this process and would block its engine for all further
+// orders.
 void FleetPlanner::GiveUpCalls(TimePoint now) {
   for (auto& [id, engine] : engines_) {
     if (!engine.call || now - engine.call->sent_at < kCallLife) continue;
@@ -730,9 +730,9 @@
   return kLoadPoll * std::max(1, open_model_orders_ / kLoadsAtFullPoll);
 }
 
-// An order that is late is asked about the less often the later it is: an
-// unload waits for the requests that run, for seconds, and each engine that did
-// was asked 16 times a second.
+// Polls a late order less often the later it is. An unload waits for running
+// requests, possibly for seconds; at a fixed interval each such engine would be
+// polled 16 times per second.
 TimePoint FleetPlanner::NextReport(const OpenOrder& order,
                                    TimePoint now) const {
   const Duration late = now - order.expected_end;
@@ -748,7 +748,7 @@
       engines_.begin(), engines_.end(),
       [](const auto& item) { return item.second.model_order.has_value(); }));
   for (auto& [id, engine] : engines_) {
-    // Adapter loads end unannounced.
+    // Engines do not announce the end of adapter loads.
     for (auto& [name, holding] : engine.holdings) {
       if (holding.base.empty() || holding.state != State::kLoading) continue;
       if (engine.call && engine.call->name == name) continue;
@@ -758,7 +758,7 @@
       Changed(engine);
     }
     if (engine.report_at > now || engine.is_rejecting) continue;
-    if (ClassOf(engine) == nullptr) continue;  // Of no service that is known.
+    if (ClassOf(engine) == nullptr) continue;  // Unknown service.
     const bool is_under_way = engine.report_sent_at != TimePoint{} &&
                               now - engine.report_sent_at < kReportTimeout;
     if (is_under_way) continue;
@@ -774,11 +774,11 @@
   }
 }
 
-// Guards against belief in what a crashed engine was to serve. Its listing
-// stays for three missed heartbeats, for 13 s where the store is away as well;
-// as long as its models counted as ready or being loaded there, nothing else
-// was done for those who asked for them. Only that belief ends: what it holds
-// is kept in mind, as it may be well and cut off from this host alone.
+// Marks engines that do not answer. A crashed engine stays listed for three
+// missed heartbeats, and for 13 s while the store is unavailable. If its models
+// still counted as ready or loading there, no other engine would load them.
+// Its holdings remain recorded, as it may run and only be unreachable from this
+// host.
 void FleetPlanner::NoteSilence(TimePoint now) {
   for (auto& [id, engine] : engines_) {
     const bool is_silent = policies_.Has(Policy::kSilence) &&
@@ -790,14 +790,14 @@
     const std::string order =
         engine.model_order ? engine.model_order->name : std::string();
     Note(is_silent ? "engine_silent" : "engine_answers", id, order,
-         "reports asked of it",
+         "report requests",
          is_silent ? now - engine.unanswered_since : Duration{0});
   }
 }
 
 // ---- Decisions ----
 
-// Worth a second that is lost while `model` is missing on `engine`.
+// Returns the worth per second that is lost if `engine` unloads `model`.
 double FleetPlanner::LossOf(const Engine& engine, const std::string& model,
                             TimePoint now) const {
   double worth = usage_.WorthRate(model, now);
@@ -815,8 +815,8 @@
   return worth * (unmet + (is_last_pair ? kReplicaLoss : kSpareLoss));
 }
 
-// The models whose loss costs least, until `needed` bytes are free; empty if
-// there are not enough.
+// Returns the models with the lowest loss that together free `needed` bytes;
+// empty if the evictable ones do not suffice.
 std::vector<std::string> FleetPlanner::ChooseVictims(const Engine& engine,
                                                      uint64_t needed,
                                                      TimePoint now) const {
@@ -831,8 +831,8 @@
     if (now - holding.since < kLeastResidency) continue;
     if (usage_.IsWaitedFor(name)) continue;
     double loss = LossOf(engine, name, now);
-    // Of equals, one that others hold too, and then the one that has been there
-    // longest: before any demand is known, replicas tell which are busy.
+    // Of equals prefers the one with the most replicas, which tell the busy
+    // models before usage is known, and then the oldest.
     loss -= kOthersShare * std::min(kMostOthers, WhereIs(name).ready);
     loss -= kAgeShare * ToSeconds(now - holding.since);
     if (usage_.RunningOn(engine.listed.id, name) > 0) {
@@ -905,16 +905,15 @@
     }
   }
   ready_in += LoadTime(entry, option.tier);
-  // Nothing is unloaded that earns more a second than what it makes room for
-  // is worth in all: demand that has moved on would push out what is asked for.
+  // Does not evict models whose worth per second exceeds the total worth of the
+  // new one; otherwise demand that has moved on would evict models in demand.
   if (loss > worth) {
     search.Reject(PutOff::kWorthLess);
     return std::nullopt;
   }
   const double blocked = BlockedAdapterLoss(engine, ready_in);
-  // Requests that wait choose the engine where they are least in the way of
-  // adapters, but are not held back for them, or they would wait for ever where
-  // all engines have some.
+  // Waiting requests prefer the engine that blocks the fewest adapters, but are
+  // not held back: they would wait forever if all engines serve adapters.
   if (is_background && loss + blocked > worth) return std::nullopt;
   loss += blocked;
   option.ready_in = ready_in;
@@ -936,8 +935,8 @@
   search.best = std::move(option);
 }
 
-// Engines that have a copy are few; all others are the same distance from the
-// weight store and are looked at only when it has room.
+// Tries the few engines with a copy first. All others have to load from the
+// weight store and are tried only if it has capacity.
 FleetPlanner::Search FleetPlanner::BestOption(const CatalogueEntry& entry,
                                               double worth, bool at_once_only,
                                               TimePoint now) {
@@ -955,10 +954,10 @@
   return search;
 }
 
-// Guards against room made twice: an unload takes a third of a second, and
-// until it is done the model counts as being loaded nowhere. Decided anew each
-// 25 ms meanwhile, up to nine engines gave up a model for one replica, and the
-// next requests for those found them cold.
+// Returns the engine that is evicting to load `model`, or null. An unload takes
+// a third of a second; without this check the decisions made every 25 ms
+// meanwhile would evict on up to nine engines for one replica, and the next
+// requests for the evicted models would meet a cold start.
 FleetPlanner::Engine* FleetPlanner::EngineMakingRoom(const std::string& model,
                                                      TimePoint now) {
   const auto made = room_made_on_.find(model);
@@ -975,10 +974,10 @@
   return is_for_it && is_usable && is_at_work ? &engine : nullptr;
 }
 
-// An engine's report that an unload is done lags by 0.3 s, a fifth of a load
-// from disk; its answer to the next order does not. The order names the count
-// with the unload in it, and an engine refuses it while the unload goes on, so
-// one that is accepted proves that the memory is free.
+// Returns true if a load may be sent before a report confirms the unload ahead
+// of it. That report lags by 0.3 s, a fifth of a load from disk. The load
+// states the count that includes the unload, and the engine refuses it while
+// the unload is in progress, so its acceptance proves that the memory is free.
 bool FleetPlanner::MayLoadAfterUnload(const Engine& engine,
                                       const CatalogueEntry& entry,
                                       TimePoint now) const {
@@ -988,8 +987,7 @@
   if (now < unload.expected_end || now < engine.load_again_at) return false;
   if (engine.refused_loads >= kMostRefusedLoads) return false;
   if (usage_.RunningOn(engine.listed.id, unload.name) > 0) return false;
-  // Room was made on several engines while the store had a turn for one of
-  // them.
+  // Several engines may have evicted while the store has capacity for one load.
   const bool is_from_store =
       TierOn(engine, entry.name) == CheckpointTier::kRemote;
   if (is_from_store && !HasStoreRoom(entry.service, now)) return false;
@@ -1009,13 +1007,13 @@
   std::erase_if(engine.holdings, [&](const auto& item) {
     return item.first == unload.name || item.second.base == unload.name;
   });
-  Note("unloaded", engine.listed.id, unload.name, "seen by the next order",
+  Note("unloaded", engine.listed.id, unload.name, "confirmed by the next order",
        now - unload.sent_at);
   Changed(engine);
 }
 
-// True if the load was sent ahead of the news that its room is free and was
-// refused: the unload goes on.
+// Handles the refusal of a load sent before its unload was confirmed: the
+// unload is still in progress. Returns false for any other answer.
 bool FleetPlanner::TakeRefusedLoad(Engine& engine, const OpenOrder& call,
                                    OrderResult result, TimePoint now) {
   if (!engine.unload_before || result != OrderResult::kBusy) return false;
@@ -1044,7 +1042,7 @@
   if (!option) return search.put_off;
   Engine& engine = *option->engine;
   if (!MayOrder(engine) || engine.model_order) {
-    // Waiting for this engine is quicker than any other way.
+    // Waiting for this engine is faster than any other option.
     if (!at_once_only) {
       engine.is_making_room = false;
       engine.reserved_for = entry.name;
@@ -1061,7 +1059,8 @@
     CatalogueEntry unknown;
     unknown.name = option->victims.front();
     SendOrder(engine, OrderKind::kUnload, victim ? *victim : unknown,
-              option->tier, absl::StrCat("room for ", entry.name), now, orders);
+              option->tier, absl::StrCat("evicted for ", entry.name), now,
+              orders);
     return PutOff::kNone;
   }
   engine.reserved_for.clear();
@@ -1076,7 +1075,7 @@
   return static_cast<int>(held);
 }
 
-// Unloads the adapter that was asked for least, if one may go.
+// Unloads the evictable adapter with the lowest worth rate; false if none.
 bool FleetPlanner::MakeAdapterRoom(Engine& engine, TimePoint now,
                                    std::vector<OrderToSend>& orders) {
   std::string victim;
@@ -1093,7 +1092,7 @@
   const CatalogueEntry* entry = EntryOf(victim);
   if (entry == nullptr) return false;
   SendOrder(engine, OrderKind::kUnload, *entry, CheckpointTier::kMemory,
-            "adapter room", now, orders);
+            "evicted for another adapter", now, orders);
   return true;
 }
 
@@ -1109,13 +1108,13 @@
     if (base == engine.holdings.end()) continue;
     has_base = has_base || base->second.state != State::kUnloading;
     if (base->second.state != State::kReady) continue;
-    // One engine of the base's takes an adapter as long as it can, so that
-    // its requests meet it there again.
+    // Ranks engines by a hash of adapter and engine, so that an adapter is
+    // loaded on the same engine again.
     const uint64_t rank =
         policies_.Has(Policy::kAdapterAffinity)
             ? StableHash(absl::StrCat(entry.name, "|", id))
             : static_cast<uint64_t>(AdapterSlotsTaken(engine));
-    // An engine takes no adapter while it loads or unloads a model.
+    // Engines refuse adapters during a model load or unload.
     if (engine.model_order) continue;
     if (best != nullptr && rank >= best_rank) continue;
     best = &engine;
@@ -1147,13 +1146,13 @@
     return;
   }
   SendOrder(*best, OrderKind::kLoad, entry, CheckpointTier::kMemory,
-            "requests wait", now, orders);
+            "requests waiting", now, orders);
 }
 
 void FleetPlanner::ServeWaiting(TimePoint now,
                                 std::vector<OrderToSend>& orders) {
-  // The store brings what is worth most first, one after the other at its
-  // full speed; whoever cannot be in time is told so now.
+  // Estimates when the store can deliver each target, highest worth first, so
+  // that hosts can refuse requests that would miss their deadline.
   store_turn_.clear();
   TimePoint store_free_at = now;
   for (const auto& [id, engine] : engines_) {
@@ -1196,8 +1195,8 @@
   if (room_made_on_.size() > kMostLooks) room_made_on_.clear();
 }
 
-// One line for each change of the reason, so that a refusal can be traced to
-// what stood in the way of its model without a line for each look.
+// Logs only changes of the reason: a refusal can be traced to it without a log
+// line per attempt.
 void FleetPlanner::NotePutOff(const std::string& target, PutOff reason) {
   const auto [known, is_new] = put_off_.try_emplace(target, reason);
   if (!is_new && known->second == reason) return;
@@ -1206,7 +1205,7 @@
   Note("load_put_off", "", target, PutOffName(reason));
 }
 
-// Requests for adapters run on their base model's replicas.
+// Requests for adapters count for their base model, whose replicas serve them.
 void FleetPlanner::SumUsage(TimePoint now) {
   if (now - summed_at_ < kSumInterval) return;
   summed_at_ = now;
@@ -1224,8 +1223,8 @@
   }
 }
 
-// Worth that is late because `engine` takes no adapters while it carries out a
-// model order for `duration`.
+// Returns the worth delayed because `engine` accepts no adapters while it
+// executes a model order for `duration`.
 double FleetPlanner::BlockedAdapterLoss(const Engine& engine,
                                         Duration duration) const {
   if (!policies_.Has(Policy::kBlockedAdapters)) return 0;
@@ -1239,13 +1238,13 @@
   return loss * ToSeconds(duration) / 2;
 }
 
-// The share of `rate` that `replicas` cannot take.
+// Returns the share of `rate` that `replicas` cannot serve.
 double FleetPlanner::Unmet(double rate, double replicas) {
   if (rate <= 0) return 0;
   return std::max(0.0, 1.0 - replicas * kRatePerReplica / rate);
 }
 
-// How many more it takes until `rate` can be met.
+// Returns the number of further replicas needed to serve `rate`.
 int FleetPlanner::MissingReplicas(double rate, double replicas) {
   return static_cast<int>(std::ceil(rate / kRatePerReplica - replicas));
 }
@@ -1271,9 +1270,9 @@
   return std::max(0.0, capacity);
 }
 
-// Replicas that are missing are loaded side by side. One after the other, each
-// taking 1.8 s from disk, a model that rose to 44 requests a second had what it
-// needed after 14 s, when demand was about to move on.
+// Loads missing replicas concurrently. One after the other, at 1.8 s each from
+// disk, a model that rose to 44 requests per second had enough replicas only
+// after 14 s, when demand was about to move on.
 void FleetPlanner::ReplicateBusy(bool is_overloaded, TimePoint now,
                                  std::vector<OrderToSend>& orders) {
   const Policy policy =
@@ -1300,18 +1299,18 @@
     if (where.ready >= kBusyReplicas && unmet <= 0) continue;
     const double share = where.ready == 0 ? 1.0 : unmet + kReplicaWorth;
     if ((unmet > 0) != is_overloaded) continue;
-    // A model that cannot take what is asked of it may wait for an engine, as
-    // requests do; a spare replica takes only what is free.
+    // A replica for an overloaded model may wait for an engine; a spare one is
+    // loaded only where it can start at once.
     PlaceModel(*entry, busy.worth_rate * share * kReplicaHorizonSeconds,
                is_overloaded ? "overloaded" : "busy",
                /*at_once_only=*/!is_overloaded, now, orders);
   }
 }
 
-// Brings models that no engine has at hand from the store ahead of their first
-// request: a later load from memory or disk takes a fifth of the time. The
-// store's pipe is kept full but never fuller, as more loads at once only slow
-// each other.
+// Loads models of which no engine has a copy from the weight store ahead of
+// their first request: a later load from memory or disk takes a fifth of the
+// time. Uses the store's full width but no more, as further concurrent loads
+// would only slow each other.
 void FleetPlanner::SeedCopies(TimePoint now, std::vector<OrderToSend>& orders) {
   if (!policies_.Has(Policy::kSeeding)) return;
   if (catalogue_ == nullptr || seeds_at_ > now) return;
@@ -1323,15 +1322,15 @@
     if (!entry.base.empty() || entry.service.empty()) continue;
     const Whereabouts& where = WhereIs(name);
     if (!where.holders.empty() || !where.copies.empty()) continue;
-    const PutOff put_off =
-        PlaceModel(entry, kSeedWorth, "no copy at hand", true, now, orders);
-    // Nowhere for this one is nowhere for those of its size.
+    const PutOff put_off = PlaceModel(entry, kSeedWorth, "no engine has a copy",
+                                      true, now, orders);
+    // Other models of this size would fail for the same reason.
     if (put_off != PutOff::kNone || StoreLoads() >= most) return;
   }
 }
 
-// Of the models that no engine holds and of which `engine` has a copy, the one
-// that was asked for most, if it fits in what is free; null if there is none.
+// Returns the model with the highest worth rate that no engine holds, of which
+// `engine` has a copy and which fits into its free memory; null if none.
 const CatalogueEntry* FleetPlanner::BestForFreeMemory(const Engine& engine,
                                                       TimePoint now) const {
   const EngineClass* engine_class = ClassOf(engine);
@@ -1351,17 +1350,16 @@
       best_worth = worth;
     }
   };
-  // From host memory a load is the quicker one.
+  // Loads from host memory are faster, so they win ties.
   consider(engine.listed.in_host_memory);
   consider(engine.listed.on_disk);
   return best;
 }
 
-// An engine that comes back from a crash is empty and has its copies on disk.
-// Left so until a request came for each, it made the first callers of all its
-// models wait for 1.9 s, and those of the second and third one longer, as it
-// loads one at a time. What nobody holds is loaded ahead of them where memory
-// is free and the engine has nothing else to do.
+// Loads models that no engine holds into the free memory of idle engines. An
+// engine that restarts after a crash is empty but has copies on disk. Without
+// this the first request for each of its models would wait 1.9 s for a load,
+// and longer for the second and third one, as the engine loads one at a time.
 void FleetPlanner::FillFreeMemory(TimePoint now,
                                   std::vector<OrderToSend>& orders) {
   if (!policies_.Has(Policy::kFreeMemory) || fills_at_ > now) return;
@@ -1375,7 +1373,7 @@
     const CatalogueEntry* entry = BestForFreeMemory(engine, now);
     if (entry == nullptr) continue;
     SendOrder(engine, OrderKind::kLoad, *entry, TierOn(engine, entry->name),
-              "memory is free", now, orders);
+              "free memory", now, orders);
     IndexHoldings();  // So that the next engine does not load it as well.
     ++begun;
   }
@@ -1390,14 +1388,14 @@
   if (!may_order || is_superseded_ || classes_ == nullptr) return;
   IndexHoldings();
   SumUsage(now);
-  // Requests that wait keep the engines' one order each taken; models that
-  // cannot take what is asked of them, or are gone, go before them.
+  // Waiting requests can occupy the single order of every engine, so models
+  // that are overloaded or no longer loaded anywhere come first.
   ReplicateBusy(/*is_overloaded=*/true, now, orders);
   ServeWaiting(now, orders);
   ReplicateBusy(/*is_overloaded=*/false, now, orders);
   SeedCopies(now, orders);
   FillFreeMemory(now, orders);
-  IndexHoldings();  // Answers tell of the orders given just now.
+  IndexHoldings();  // So that answers include the orders just sent.
 }
 
 DemandAnswer FleetPlanner::Answer(const std::string& target,
@@ -1429,9 +1427,9 @@
     answer.status = DemandStatus::kLoading;
     const auto& order = engine->second.model_order;
     if (order && order->name == target) {
-      // A load that is late by some time is taken to need as much again. Taken
-      // for due at any moment, it kept its callers waiting until they left,
-      // 12 s, where a slowed store brought the model after 50 s.
+      // Assumes that a late load needs its lateness once more. If it counted as
+      // due at any moment, callers would wait until they leave after 12 s while
+      // a slow store takes 50 s.
       const Duration left = order->expected_end - now;
       answer.expected = std::chrono::abs(left);
     }
--- a/placement/idle_policy.cc
+++ b/placement/idle_policy.cc
@@ -6,20 +6,20 @@
 namespace applehall {
 namespace {
 
-// Gaps below this belong to one burst and say nothing about idling.
+// Shorter gaps belong to one burst and do not count as idle times.
 constexpr Duration kLeastGap = std::chrono::seconds(2);
 constexpr double kBucketGrowth = 1.4142135623730951;
-// Old gaps fade, so that a model whose habits change is learnt anew.
+// Decay of old gaps per new one, to adapt when a model's usage changes.
 constexpr float kFade = 0.97F;
-// A load is ordered, seen ready and told: no cold start is shorter than this,
-// even from host memory.
+// Minimum cold start, even from host memory: the load must be ordered, detected
+// as ready and reported to the hosts.
 constexpr Duration kLeastColdStart = std::chrono::seconds(1);
 constexpr float kLeastWeightToTrust = 2.0F;
-// Idle times of all models together before any plan is made from them, and how
-// many of a model's own idle times the others count for.
+// Minimum number of idle times of all models before plans are made, and the
+// weight of the prior in idle times of the model itself.
 constexpr float kLeastPoolToTrust = 10.0F;
 constexpr float kPriorWeight = 1.0F;
-// One second of cold start is worth this many idle seconds at weight 0.5.
+// Idle seconds that equal one second of cold start at weight 0.5.
 constexpr double kBalance = 20.0;
 
 }  // namespace
@@ -75,7 +75,7 @@
     still_open += it->second.gaps[i];
     if (BucketMiddle(i) <= idle + span) within += it->second.gaps[i];
   }
-  // One unseen gap that never ends keeps the chance honest.
+  // Smoothing: adds half an unobserved gap that never ends.
   return within / (still_open + 0.5F);
 }
 
@@ -119,8 +119,8 @@
   const double cold_cost = ToSeconds(std::max(load_time, kLeastColdStart)) *
                            kBalance * weight / (1.0 - weight);
 
-  // Cost of staying until the end of each bucket: idle seconds held for gaps
-  // that end earlier or later, plus the cold start of those that end later.
+  // Cost of keeping the model until the end of each bucket: idle seconds for
+  // all gaps, plus a cold start for gaps that end later.
   double best_cost = cold_cost * history.total;
   plan.keep_for = Duration{0};
   double held = 0.0;
@@ -136,7 +136,7 @@
     }
   }
 
-  // Cost of leaving at once and returning for the buckets [from, to].
+  // Cost of unloading at once and prewarming for the buckets [from, to].
   for (int from = 1; from < kBuckets; ++from) {
     const Duration start = BucketEnd(from - 1);
     if (start <= load_time * 2) continue;
--- a/placement/memory_ledger.cc
+++ b/placement/memory_ledger.cc
@@ -64,8 +64,8 @@
   if (inventory.incarnation > incarnation_) {
     DropEarlierLife(inventory.incarnation, changes);
   } else if (inventory.sequence <= inventory_.sequence) {
-    // Answers cross on the wire. An older one shows memory as free that a
-    // load has taken since.
+    // Answers may arrive out of order. An older one shows memory as free that
+    // a load has taken since.
     return changes;
   }
   memory_bytes_ = inventory.memory_bytes;
@@ -83,8 +83,8 @@
   incarnation_ = incarnation;
   for (auto it = holdings_.begin(); it != holdings_.end();) {
     const bool is_ordered = it->second.state == HoldingState::kOrdered;
-    // An engine that checks refuses an order for its earlier life; any other
-    // still obeys one that is under way.
+    // An engine that checks fences refuses orders for its earlier incarnation;
+    // any other still executes one that is in flight.
     if (is_ordered && !checks_fence_) {
       ++it;
       continue;
@@ -103,7 +103,7 @@
 bool MemoryLedger::IsSettledAsAbsent(const Holding& holding,
                                      const Inventory& inventory,
                                      TimePoint asked_at) const {
-  // It was seen in an inventory before, and this one is newer.
+  // An earlier inventory showed it, and this one is newer.
   if (holding.state == HoldingState::kLoading ||
       holding.state == HoldingState::kReady ||
       holding.state == HoldingState::kUnloading) {
@@ -111,9 +111,10 @@
   }
   const auto result = inventory.results.find(holding.order_id);
   if (result != inventory.results.end()) return true;
-  // The load order may still be on its way: an inventory written before it
-  // arrives proves nothing. A checking engine that has seen a higher fence
-  // will refuse it; of others only time tells.
+  // The load order may still be in flight, so its absence from an inventory
+  // written before it arrives proves nothing. An engine that checks fences and
+  // has seen a higher one will refuse it; on others only its maximum time in
+  // flight settles it.
   if (checks_fence_) return inventory.highest_fence > holding.order_fence;
   return asked_at > holding.ordered_at + order_horizon_;
 }
--- a/placement/ownership_table.cc
+++ b/placement/ownership_table.cc
@@ -18,8 +18,8 @@
                            const std::string& group, const Incarnation& owner,
                            FencingToken previous) {
   GroupOwnership& ownership = groups_[group];
-  // Two hosts that saw the same owner fall silent both claim. The first on
-  // the log wins; the second names a token that is no longer the group's.
+  // Several hosts may claim the group when its owner becomes unreachable. The
+  // first claim on the log wins; the others state a token that is outdated.
   if (ownership.token != previous) return false;
   if (ownership.is_owned()) {
     ownership.predecessors.push_back({ownership.owner, ownership.token, time});
--- a/placement/store_budget.cc
+++ b/placement/store_budget.cc
@@ -8,7 +8,7 @@
 
 constexpr double kMostSaved = 2.0;
 constexpr Duration kSlotLoan = std::chrono::seconds(20);
-// An owner lends only after it has not loaded for this long.
+// An owner lends only if it has started no load for this long.
 constexpr Duration kIdleBeforeLending = std::chrono::seconds(3);
 
 }  // namespace
@@ -74,7 +74,7 @@
 
 void StoreBudget::Accept(const StoreGrant& grant, TimePoint now) {
   Refill(now);
-  // A doubled grant message must not count twice.
+  // A duplicated grant message must not count twice.
   if (grant.expires <= now) return;
   if (!accepted_.emplace(grant.id, grant.expires).second) return;
   saved_ = std::min(kMostSaved, saved_ + grant.loads);
--- a/placement/usage_table.cc
+++ b/placement/usage_table.cc
@@ -6,13 +6,13 @@
 namespace applehall {
 namespace {
 
-// A host that says nothing for this long is gone or cut off; hosts report
-// twice a second.
+// Reports expire after this time: the host has stopped or is unreachable. Hosts
+// report twice per second.
 constexpr Duration kReportLife = std::chrono::seconds(2);
-// Rates follow demand that moves to other models within seconds, and still
-// see a model that is asked for every few seconds.
+// Short enough to follow demand that moves to other models within seconds, long
+// enough to cover a model that is requested every few seconds.
 constexpr Duration kRateWindow = std::chrono::seconds(4);
-// Below this a target counts as never asked for.
+// Targets with a lower rate are removed.
 constexpr double kLeastRate = 0.001;
 
 bool IsRow(const Json& row, size_t size) {
