--- a/placement/engine_owner.cc
+++ b/placement/engine_owner.cc
@@ -10,12 +10,12 @@
 namespace {
 
 // A demand expires if it is not repeated within this time.
-constexpr Duration kDemandLife = std::chrono::seconds(2);
+constexpr Duration kDemandTtl = std::chrono::seconds(2);
 constexpr Duration kSendWithin = std::chrono::seconds(2);
 constexpr Duration kFailedLoadBackoff = std::chrono::seconds(3);
 // A replica younger than this is not evicted: the requests it was loaded for
 // have not had time to reach it.
-constexpr Duration kLeastResidency = std::chrono::seconds(3);
+constexpr Duration kMinResidency = std::chrono::seconds(3);
 constexpr Duration kEvictionHorizon = std::chrono::minutes(2);
 constexpr double kEvictionPenaltySeconds = 1.0;
 // The oracle keeps a model that is used again within this many load times.
@@ -102,7 +102,7 @@
 void EngineOwner::TakeDemand(const Demand& demand, TimePoint now) {
   demands_[{demand.target, demand.host}] = {demand, now};
   if (demand.waiting <= 0) return;
-  wanted_until_[demand.target] = now + kDemandLife;
+  demanded_until_[demand.target] = now + kDemandTtl;
   idle_policy_.RecordUse(demand.target, now);
 }
 
@@ -117,8 +117,8 @@
   return true;
 }
 
-void EngineOwner::TakeChange(EngineState& engine, const LedgerChange& change,
-                             TimePoint now) {
+void EngineOwner::ApplyChange(EngineState& engine, const LedgerChange& change,
+                              TimePoint now) {
   CheckpointTier tier = CheckpointTier::kRemote;
   const std::string& name = engine.facts.name;
   switch (change.kind) {
@@ -127,8 +127,8 @@
         predictor_.Observe(engine.ledger.Find(change.name)->bytes, tier,
                            change.load_time);
       }
-      Note("load_ready", name, change.name, std::string(TierName(tier)),
-           change.load_time);
+      Record("load_ready", name, change.name, std::string(TierName(tier)),
+             change.load_time);
       return;
     case LedgerChange::Kind::kLoadFailed:
       EndStoreLoad(name, change.name, tier);
@@ -137,27 +137,27 @@
       if (change.detail == OrderResultName(OrderResult::kLoadFailed)) {
         failed_until_[change.name] = now + kFailedLoadBackoff;
       }
-      Note("load_failed", name, change.name, change.detail);
+      Record("load_failed", name, change.name, change.detail);
       return;
     case LedgerChange::Kind::kGone:
-      Note("unloaded", name, change.name, change.detail);
+      Record("unloaded", name, change.name, change.detail);
       return;
     case LedgerChange::Kind::kAdopted:
-      Note("adopted", name, change.name, "found in the inventory");
+      Record("adopted", name, change.name, "found in the inventory");
       return;
   }
 }
 
-void EngineOwner::TakeInventory(const Inventory& inventory, TimePoint asked_at,
-                                TimePoint now) {
+void EngineOwner::TakeInventory(const Inventory& inventory,
+                                TimePoint requested_at, TimePoint now) {
   const auto it = engines_.find(inventory.engine);
   if (it == engines_.end()) return;
   EngineState& engine = it->second;
   engine.last_answer = now;
-  engine.last_asked = std::max(engine.last_asked, asked_at);
+  engine.last_requested_at = std::max(engine.last_requested_at, requested_at);
   for (const LedgerChange& change :
-       engine.ledger.Reconcile(inventory, asked_at, now)) {
-    TakeChange(engine, change, now);
+       engine.ledger.Reconcile(inventory, requested_at, now)) {
+    ApplyChange(engine, change, now);
   }
   for (const Replica& replica : inventory.replicas) {
     if (replica.state != ReplicaState::kReady) continue;
@@ -180,7 +180,7 @@
 // effect shows only in an inventory requested after that.
 bool EngineOwner::IsSharedWithEarlierOwner(const EngineState& engine) const {
   if (engine.facts.checks_fence) return false;
-  return unfenced_blocked_ || engine.last_asked < unfenced_unblocked_at_;
+  return unfenced_blocked_ || engine.last_requested_at < unfenced_unblocked_at_;
 }
 
 bool EngineOwner::MayOrder(const EngineState& engine) const {
@@ -231,7 +231,7 @@
     const PlacementPolicy& policy, TimePoint now) const {
   std::map<std::string, TargetDemand> by_target;
   for (const auto& [key, level] : demands_) {
-    if (level.heard_at + kDemandLife < now || level.demand.waiting <= 0) {
+    if (level.received_at + kDemandTtl < now || level.demand.waiting <= 0) {
       continue;
     }
     TargetDemand& sum = by_target[level.demand.target];
@@ -258,27 +258,27 @@
 
 void EngineOwner::AddStanding(const PlacementPolicy& policy, TimePoint now,
                               std::vector<TargetDemand>& demand) const {
-  const auto is_there = [&demand](const std::string& target) {
+  const auto has_entry = [&demand](const std::string& target) {
     return std::any_of(demand.begin(), demand.end(),
                        [&](const auto& item) { return item.target == target; });
   };
   for (const std::string& target : policy.bounds->KeptWarm()) {
-    if (is_there(target)) continue;
+    if (has_entry(target)) continue;
     TargetDemand standing;
     standing.target = target;
     standing.is_background = false;
     demand.push_back(standing);
   }
   if (settings_.keep_policy == KeepPolicy::kFixedTimeToLive) return;
-  const auto add_ahead = [&](const std::string& target) {
-    if (is_there(target)) return;
-    TargetDemand ahead;
-    ahead.target = target;
-    ahead.is_prewarm = true;
-    demand.push_back(ahead);
+  const auto add_prewarm = [&](const std::string& target) {
+    if (has_entry(target)) return;
+    TargetDemand prewarm;
+    prewarm.target = target;
+    prewarm.is_prewarm = true;
+    demand.push_back(prewarm);
   };
   if (settings_.keep_policy == KeepPolicy::kAlwaysWarm) {
-    for (const auto& [target, entry] : *policy.catalogue) add_ahead(target);
+    for (const auto& [target, entry] : *policy.catalogue) add_prewarm(target);
     return;
   }
   for (const std::string& target : idle_policy_.KnownModels()) {
@@ -289,7 +289,7 @@
     if (plan.prewarm_at == Duration::zero()) continue;
     const Duration idle = now - idle_policy_.LastUse(target);
     if (idle < plan.prewarm_at - lead || idle >= plan.prewarm_until) continue;
-    add_ahead(target);
+    add_prewarm(target);
   }
 }
 
@@ -304,7 +304,7 @@
   return desired;
 }
 
-void EngineOwner::Serve(
+void EngineOwner::ServeDemand(
     const TargetDemand& demand, const PlacementPolicy& policy,
     StoreBudget& store,
     const std::function<int(const std::string&, int)>& quota, TimePoint now,
@@ -327,7 +327,7 @@
   if (base.ready + base.loading > 0 || base.held > base.unknown) return;
   TargetDemand for_base = demand;
   for_base.target = entry->second.base;
-  Serve(for_base, policy, store, quota, now, orders);
+  ServeDemand(for_base, policy, store, quota, now, orders);
 }
 
 void EngineOwner::Decide(
@@ -339,12 +339,12 @@
   wants_store_ = false;
   if (stopped_) return;
   std::erase_if(demands_, [now](const auto& entry) {
-    return entry.second.heard_at + kDemandLife < now;
+    return entry.second.received_at + kDemandTtl < now;
   });
-  std::erase_if(wanted_until_,
+  std::erase_if(demanded_until_,
                 [now](const auto& entry) { return entry.second < now; });
   for (const TargetDemand& demand : GatherDemand(policy, now)) {
-    Serve(demand, policy, store, quota, now, orders);
+    ServeDemand(demand, policy, store, quota, now, orders);
   }
   UnloadIdle(policy, now, orders);
 }
@@ -370,7 +370,7 @@
   double best_cost = 0;
   for (const auto& [name, engine] : engines_) {
     if (!CanHost(engine, entry)) continue;
-    const uint64_t soon = engine.ledger.free_bytes() + LeavingBytes(engine);
+    const uint64_t soon = engine.ledger.free_bytes() + UnloadingBytes(engine);
     const bool must_evict = soon < entry.bytes;
     if (must_evict && demand.is_prewarm) continue;
     if (must_evict && soon + EvictableBytes(engine, entry.base) < entry.bytes) {
@@ -414,10 +414,10 @@
     return false;
   }
   load_tiers_[LoadKey(engine.facts.name, entry.name)] = tier;
-  Note("load_ordered", engine.facts.name, entry.name,
-       demand.is_prewarm
-           ? "prewarm"
-           : absl::StrCat(demand.waiting, " waiting, worth ", demand.worth));
+  Record("load_ordered", engine.facts.name, entry.name,
+         demand.is_prewarm
+             ? "prewarm before expected use"
+             : absl::StrCat(demand.waiting, " waiting, worth ", demand.worth));
   orders.push_back({engine.facts.name, engine.facts.address, order});
   engine.next_inspect =
       std::min(engine.next_inspect,
@@ -425,7 +425,7 @@
   return true;
 }
 
-uint64_t EngineOwner::LeavingBytes(const EngineState& engine) {
+uint64_t EngineOwner::UnloadingBytes(const EngineState& engine) {
   uint64_t bytes = 0;
   for (const auto& [name, holding] : engine.ledger.holdings()) {
     if (holding.state == HoldingState::kUnloading) bytes += holding.bytes;
@@ -433,31 +433,30 @@
   return bytes;
 }
 
-bool EngineOwner::IsWanted(const std::string& target) const {
-  return wanted_until_.contains(target);
+bool EngineOwner::HasDemand(const std::string& target) const {
+  return demanded_until_.contains(target);
 }
 
-bool EngineOwner::IsEvictableAlone(const std::string& name,
-                                   const Holding& holding,
-                                   TimePoint seen_at) const {
+bool EngineOwner::IsUnused(const std::string& name, const Holding& holding,
+                           TimePoint seen_at) const {
   if (holding.state != HoldingState::kReady || holding.running > 0) {
     return false;
   }
-  if (IsWanted(name)) return false;
+  if (HasDemand(name)) return false;
   return seen_at - std::max(holding.settled_at, holding.last_used) >=
-         kLeastResidency;
+         kMinResidency;
 }
 
 // A base model is evictable only if all its adapters are; they go first.
 bool EngineOwner::IsEvictable(const EngineState& engine,
                               const std::string& name,
                               const Holding& holding) const {
-  if (!IsEvictableAlone(name, holding, engine.last_answer)) return false;
+  if (!IsUnused(name, holding, engine.last_answer)) return false;
   for (const auto& [other, adapter] : engine.ledger.holdings()) {
     if (adapter.base != name || adapter.state == HoldingState::kUnloading) {
       continue;
     }
-    if (!IsEvictableAlone(other, adapter, engine.last_answer)) return false;
+    if (!IsUnused(other, adapter, engine.last_answer)) return false;
   }
   return true;
 }
@@ -477,7 +476,7 @@
                         const PlacementPolicy& policy, TimePoint now,
                         std::vector<OrderToSend>& orders) {
   const auto soon = [&engine] {
-    return engine.ledger.free_bytes() + LeavingBytes(engine);
+    return engine.ledger.free_bytes() + UnloadingBytes(engine);
   };
   while (soon() < entry.bytes) {
     const uint64_t before = soon();
@@ -492,7 +491,7 @@
                            const PlacementPolicy& policy, TimePoint now,
                            std::vector<OrderToSend>& orders) {
   std::string victim;
-  double least = 0;
+  double min_cost = 0;
   for (const auto& [name, holding] : engine.ledger.holdings()) {
     if (name == entry.base || !IsEvictable(engine, name, holding)) continue;
     const Duration idle = now - std::max(holding.last_used, holding.settled_at);
@@ -502,12 +501,12 @@
         static_cast<double>(std::max<uint64_t>(1, holding.bytes));
     // Models that rules keep warm go last.
     if (Count(name).ready <= policy.bounds->For(name).least) cost += 1.0;
-    if (!victim.empty() && cost >= least) continue;
+    if (!victim.empty() && cost >= min_cost) continue;
     victim = name;
-    least = cost;
+    min_cost = cost;
   }
   if (victim.empty()) return;
-  const std::string reason = absl::StrCat("evicted for ", entry.name);
+  const std::string reason = absl::StrCat("load of ", entry.name);
   bool has_adapters = false;
   std::vector<std::string> adapters;
   for (const auto& [name, holding] : engine.ledger.holdings()) {
@@ -527,22 +526,22 @@
                          std::vector<OrderToSend>& orders) {
   const EngineOrder order = MakeOrder(engine, OrderKind::kUnload, name, now);
   if (!engine.ledger.BeginUnload(order, now)) return;
-  Note("unload_ordered", engine.facts.name, name, reason);
+  Record("unload_ordered", engine.facts.name, name, reason);
   orders.push_back({engine.facts.name, engine.facts.address, order});
   engine.next_inspect =
       std::min(engine.next_inspect,
                now + settings_.inspect_interval / kLoadingInspectSpeedup);
 }
 
-bool EngineOwner::IsKeepOver(const EngineState& engine, const std::string& name,
-                             const Holding& holding,
-                             const PlacementPolicy& policy,
-                             TimePoint now) const {
+bool EngineOwner::IsExpired(const EngineState& engine, const std::string& name,
+                            const Holding& holding,
+                            const PlacementPolicy& policy,
+                            TimePoint now) const {
   if (settings_.keep_policy == KeepPolicy::kAlwaysWarm) return false;
   const TimePoint last = std::max(holding.last_used, holding.settled_at);
   const ReplicaBounds bounds = policy.bounds->For(name);
   const Duration idle = now - last;
-  if (idle < kLeastResidency) return false;
+  if (idle < kMinResidency) return false;
   if (bounds.keep_warm > Duration::zero()) return idle >= bounds.keep_warm;
   if (settings_.keep_policy == KeepPolicy::kFixedTimeToLive) {
     return idle >= settings_.default_keep;
@@ -566,7 +565,7 @@
         continue;
       }
       if (Count(name).ready <= policy.bounds->For(name).least) continue;
-      if (IsKeepOver(engine, name, holding, policy, now)) {
+      if (IsExpired(engine, name, holding, policy, now)) {
         leaving.push_back(name);
       }
     }
@@ -585,7 +584,7 @@
     EngineOrder order = MakeOrder(engine, OrderKind::kInspect, "", now);
     // Sequence 0 raises only the engine's token. A sequence above that of an
     // unanswered order settles it: the engine refuses it from then on.
-    if (!engine.ledger.HasUnsettled(now - settings_.unsettled_after)) {
+    if (!engine.ledger.HasUnsettledOrder(now - settings_.unsettled_after)) {
       order.fence.sequence = 0;
     }
     orders.push_back({name, engine.facts.address, order});
@@ -679,9 +678,9 @@
     return answer;
   }
   // An earlier owner may load it on an engine that this owner may not order.
-  const bool is_left_to_earlier =
+  const bool is_reserved_for_earlier =
       count.foreign > 0 && count.held + count.foreign >= allowed;
-  if (allowed <= 0 || is_left_to_earlier) return answer;
+  if (allowed <= 0 || is_reserved_for_earlier) return answer;
   const bool is_adapter = !entry->second.base.empty();
   if (is_adapter) {
     const auto base = policy.catalogue->find(entry->second.base);
@@ -696,20 +695,21 @@
     return answer;
   }
   answer.status = DemandStatus::kQueued;
-  answer.expected += store.WaitFor(now);
+  answer.expected += store.TimeUntilLoad(now);
   return answer;
 }
 
 bool EngineOwner::IsQuiet(TimePoint now) const {
   return std::none_of(engines_.begin(), engines_.end(), [&](const auto& item) {
-    return item.second.ledger.HasUnsettled(now + Duration{1});
+    return item.second.ledger.HasUnsettledOrder(now + Duration{1});
   });
 }
 
-void EngineOwner::Note(std::string event, const std::string& engine,
-                       const std::string& target, std::string reason,
-                       Duration took) {
-  notes_.push_back({std::move(event), engine, target, std::move(reason), took});
+void EngineOwner::Record(std::string event, const std::string& engine,
+                         const std::string& target, std::string reason,
+                         Duration took) {
+  events_.push_back(
+      {std::move(event), engine, target, std::move(reason), took});
 }
 
 Json EngineOwner::ToJson(TimePoint now) const {
--- a/placement/engine_owner.h
+++ b/placement/engine_owner.h
@@ -80,11 +80,11 @@
   // fences.
   // Not thread-safe.
   void SetUnfencedBlocked(bool blocked, TimePoint now);
-  // Records a host's demand. It is valid until replaced, or for kDemandLife.
+  // Records a host's demand. It is valid until replaced, or for kDemandTtl.
   // Not thread-safe.
   void TakeDemand(const Demand& demand, TimePoint now);
   // Handles an engine's answer to an order or inspection. Not thread-safe.
-  void TakeInventory(const Inventory& inventory, TimePoint asked_at,
+  void TakeInventory(const Inventory& inventory, TimePoint requested_at,
                      TimePoint now);
   // Appends due inspections and new orders to `orders`. `quota` returns this
   // group's share of a data-centre-wide bound. Not thread-safe.
@@ -103,7 +103,7 @@
   // True if no order can still be in flight. Not thread-safe.
   bool IsQuiet(TimePoint now) const;
   // Returns and clears the events since the last call. Not thread-safe.
-  std::vector<PlacementNote> TakeNotes() { return std::exchange(notes_, {}); }
+  std::vector<PlacementNote> TakeNotes() { return std::exchange(events_, {}); }
   const std::string& group() const { return group_; }
   FencingToken token() const { return token_; }
   // Releases the weight store slots of all open loads and returns their number;
@@ -117,7 +117,7 @@
     MemoryLedger ledger;
     TimePoint next_inspect;
     TimePoint last_answer;
-    TimePoint last_asked;  // Send time of the latest answered request.
+    TimePoint last_requested_at;  // Send time of the latest answered request.
   };
   const std::map<std::string, EngineState>& engines() const { return engines_; }
   // The state dump. Not thread-safe.
@@ -126,7 +126,7 @@
  private:
   struct DemandLevel {
     Demand demand;
-    TimePoint heard_at;
+    TimePoint received_at;
   };
   struct TargetDemand {
     std::string target;
@@ -157,10 +157,10 @@
   bool TryLoad(const TargetDemand& demand, const CatalogueEntry& entry,
                StoreBudget& store, const PlacementPolicy& policy, TimePoint now,
                std::vector<OrderToSend>& orders);
-  void Serve(const TargetDemand& demand, const PlacementPolicy& policy,
-             StoreBudget& store,
-             const std::function<int(const std::string&, int)>& quota,
-             TimePoint now, std::vector<OrderToSend>& orders);
+  void ServeDemand(const TargetDemand& demand, const PlacementPolicy& policy,
+                   StoreBudget& store,
+                   const std::function<int(const std::string&, int)>& quota,
+                   TimePoint now, std::vector<OrderToSend>& orders);
   ReplicaBounds BoundsFor(const std::string& target,
                           const PlacementPolicy& policy) const;
   const EngineState* ChooseEngine(const TargetDemand& demand,
@@ -170,16 +170,15 @@
   // its last inventory.
   bool IsSharedWithEarlierOwner(const EngineState& engine) const;
   bool MayOrder(const EngineState& engine) const;
-  static uint64_t LeavingBytes(const EngineState& engine);
+  static uint64_t UnloadingBytes(const EngineState& engine);
   uint64_t EvictableBytes(const EngineState& engine,
                           const std::string& keep_base) const;
   bool IsEvictable(const EngineState& engine, const std::string& name,
                    const Holding& holding) const;
-  // As IsEvictable, but ignores the adapters of a base model, which are
-  // unloaded before it.
-  bool IsEvictableAlone(const std::string& name, const Holding& holding,
-                        TimePoint seen_at) const;
-  bool IsWanted(const std::string& target) const;
+  // As IsEvictable, but ignores the adapters of a base model.
+  bool IsUnused(const std::string& name, const Holding& holding,
+                TimePoint seen_at) const;
+  bool HasDemand(const std::string& target) const;
   void Evict(EngineState& engine, const CatalogueEntry& entry,
              const PlacementPolicy& policy, TimePoint now,
              std::vector<OrderToSend>& orders);
@@ -188,9 +187,9 @@
                 std::vector<OrderToSend>& orders);
   void UnloadIdle(const PlacementPolicy& policy, TimePoint now,
                   std::vector<OrderToSend>& orders);
-  bool IsKeepOver(const EngineState& engine, const std::string& name,
-                  const Holding& holding, const PlacementPolicy& policy,
-                  TimePoint now) const;
+  bool IsExpired(const EngineState& engine, const std::string& name,
+                 const Holding& holding, const PlacementPolicy& policy,
+                 TimePoint now) const;
   void Inspect(TimePoint now, std::vector<OrderToSend>& orders);
   EngineOrder MakeOrder(EngineState& engine, OrderKind kind,
                         const std::string& name, TimePoint now);
@@ -203,14 +202,14 @@
                    const PlacementPolicy& policy, TimePoint now) const;
   static CheckpointTier TierOn(const EngineState& engine,
                                const std::string& name);
-  void TakeChange(EngineState& engine, const LedgerChange& change,
-                  TimePoint now);
+  void ApplyChange(EngineState& engine, const LedgerChange& change,
+                   TimePoint now);
   bool EndStoreLoad(const std::string& engine, const std::string& target,
                     CheckpointTier& tier);
   Duration PredictLoad(const CatalogueEntry& entry) const;
-  void Note(std::string event, const std::string& engine,
-            const std::string& target, std::string reason,
-            Duration took = Duration{0});
+  void Record(std::string event, const std::string& engine,
+              const std::string& target, std::string reason,
+              Duration took = Duration{0});
 
   std::string group_;
   Incarnation self_;
@@ -225,12 +224,12 @@
   uint64_t last_order_ = 0;
   TimePoint last_order_at_;
   std::map<std::pair<std::string, std::string>, DemandLevel> demands_;
-  std::map<std::string, TimePoint> wanted_until_;
+  std::map<std::string, TimePoint> demanded_until_;
   std::map<std::string, TimePoint> failed_until_;
   std::map<std::string, CheckpointTier> load_tiers_;  // By "engine/target".
   IdlePolicy idle_policy_;
   LoadPredictor predictor_;
-  std::vector<PlacementNote> notes_;
+  std::vector<PlacementNote> events_;
   int ended_store_loads_ = 0;
 };
 
--- a/placement/fleet_planner.cc
+++ b/placement/fleet_planner.cc
@@ -21,11 +21,11 @@
 constexpr Duration kReportLag = milliseconds(400);
 // Interval between reports while an order is due to end. It delays the requests
 // for a model that has just been loaded; reports lag by another 100 ms.
-constexpr Duration kEndPoll = milliseconds(60);
+constexpr Duration kEndPollInterval = milliseconds(60);
 // Reports lag by 100 ms and an order is accepted some ms after it was sent, so
 // a report requested sooner after the expected end still shows the load in
 // progress.
-constexpr Duration kFirstEndPoll = milliseconds(130);
+constexpr Duration kFirstEndPollDelay = milliseconds(130);
 // A report request without an answer by then counts as lost.
 constexpr Duration kReportTimeout = milliseconds(1500);
 // Interval between reports during a load, to detect a crash of the engine.
@@ -33,20 +33,20 @@
 // With more open orders than this the owner polls each engine less often. At
 // 256 engines it sent 700 report requests per second at peak load, more than
 // any other work.
-constexpr int kLoadsAtFullPoll = 32;
+constexpr int kOrdersAtFullPoll = 32;
 // A late order is polled at intervals of its lateness divided by this.
-constexpr int kLatePollShare = 6;
+constexpr int kLatePollDivisor = 6;
 // Reports take some ms. An engine without an answer for this long has crashed
 // or is unreachable from this host. The time covers a lost packet and its first
 // retransmission, and is a sixth of the time in which the listing expires.
-constexpr Duration kSilence = milliseconds(600);
+constexpr Duration kUnresponsiveAfter = milliseconds(600);
 // Maximum number of loads sent before the unload ahead of them is confirmed.
-constexpr int kMostRefusedLoads = 3;
+constexpr int kMaxRefusedLoads = 3;
 // Without an open order, reports only detect missed changes.
-constexpr Duration kIdleReport = seconds(10);
+constexpr Duration kIdleReportInterval = seconds(10);
 constexpr Duration kSendWithin = milliseconds(500);
 // Longer than kSendWithin plus the driver's timeout of a second.
-constexpr Duration kCallLife = seconds(3);
+constexpr Duration kCallTimeout = seconds(3);
 // Time to unload a model without requests.
 constexpr Duration kUnloadTime = milliseconds(60);
 // Extra cost of unloading a model with requests in progress, which must end.
@@ -54,37 +54,37 @@
 // Engines do not announce the end of an adapter's load. It usually takes 6 to
 // 29 ms, and a request that arrives too early is rejected without harm.
 constexpr Duration kAdapterLoad = milliseconds(40);
-constexpr int kAdaptersAtOnce = 4;
+constexpr int kMaxConcurrentAdapterLoads = 4;
 // A replica younger than this is not evicted: the requests it was loaded for
 // have not had time to reach it.
-constexpr Duration kLeastResidency = seconds(2);
+constexpr Duration kMinResidency = seconds(2);
 // Interval between attempts to place a waiting target; a new one is tried at
 // once. An attempt costs some microseconds per engine, and hundreds may wait.
-constexpr Duration kLookInterval = milliseconds(40);
-constexpr size_t kMostLooks = 4096;
+constexpr Duration kPlacementInterval = milliseconds(40);
+constexpr size_t kMaxTrackedTargets = 4096;
 // Interval between searches for free memory, a tenth of a load's time. The
 // number of loads started each time is limited, as each is a call by the owner.
 constexpr Duration kFillInterval = milliseconds(100);
-constexpr int kMostFillsAtOnce = 16;
+constexpr int kMaxFillsPerInterval = 16;
 // Decisions are made every 25 ms and on each new demand, but rates cover a
 // window of 4 s, so sums of this age are accurate enough.
 constexpr Duration kSumInterval = milliseconds(100);
 constexpr Duration kSeedInterval = milliseconds(250);
 // Breaks ties between victims by age; too small to outweigh a request.
-constexpr double kAgeShare = 0.0001;
-constexpr double kOthersShare = 0.01;
-constexpr int kMostOthers = 5;
+constexpr double kAgeBonus = 0.0001;
+constexpr double kReplicaBonus = 0.01;
+constexpr int kMaxBonusReplicas = 5;
 // How long an engine is reserved for the model that a victim was unloaded for.
-constexpr Duration kReservation = seconds(3);
+constexpr Duration kReservationTime = seconds(3);
 // Assumed number of concurrent loads that the weight store serves at full
 // speed: doubled up to the maximum while loads take the configured time,
 // lowered when they are slower. Starting with four took 53 s per load on a
 // store that serves one in 13 s, and blocked the engine of each for other
 // loads.
-constexpr double kFirstStoreWidth = 2.0;
-constexpr double kMostStoreWidth = 4.0;
+constexpr double kInitialStoreWidth = 2.0;
+constexpr double kMaxStoreWidth = 4.0;
 // Ratio to the configured time above which a load was slowed by others.
-constexpr double kSlowedLoad = 1.3;
+constexpr double kSlowedLoadRatio = 1.3;
 constexpr Duration kStoreWindow = seconds(5);
 // Requests per second above which a model gets a second replica, to stay
 // available when an engine fails.
@@ -92,7 +92,7 @@
 constexpr int kBusyReplicas = 2;
 // Running requests per slot of its engines above which a model gets one more
 // replica.
-constexpr double kBusyShare = 0.5;
+constexpr double kBusyLoad = 0.5;
 // Weight of lost worth against a second of waiting: a victim worth as much as
 // the waiting requests costs as much as a delay of 3 s.
 constexpr double kLossWeight = 3.0;
@@ -100,14 +100,14 @@
 // others serve its requests: for one of a busy model's last two replicas, and
 // for any further one. With a lower first share busy models' second replicas
 // come and go every few seconds, and a third of their requests miss them.
-constexpr double kReplicaLoss = 0.5;
+constexpr double kLastPairLoss = 0.5;
 constexpr double kSpareLoss = 0.05;
 // Requests per second that one replica serves. An engine reads about 20 prompt
 // tokens per ms and a request has about 1,500: at 5 per second prompts take a
 // third of its time, and concurrent streams begin to stall for over 0.3 s.
 constexpr double kRatePerReplica = 5.0;
 // Lower bound of an engine's capacity in replicas.
-constexpr double kLeastCapacity = 0.01;
+constexpr double kMinCapacity = 0.01;
 // Assumed time for which a further replica is useful.
 constexpr double kReplicaHorizonSeconds = 3.0;
 // Share of a busy model's worth per second that a second replica adds.
@@ -129,8 +129,8 @@
     : self_(std::move(self)),
       token_(token),
       policies_(policies),
-      store_width_(policies.Has(Policy::kStoreWidth) ? kFirstStoreWidth
-                                                     : kMostStoreWidth) {}
+      store_width_(policies.Has(Policy::kStoreWidth) ? kInitialStoreWidth
+                                                     : kMaxStoreWidth) {}
 
 void FleetPlanner::SetCatalogue(
     const std::map<std::string, CatalogueEntry>* catalogue,
@@ -141,13 +141,13 @@
 
 // ---- Catalogue, index and queries ----
 
-const CatalogueEntry* FleetPlanner::EntryOf(const std::string& name) const {
+const CatalogueEntry* FleetPlanner::FindEntry(const std::string& name) const {
   if (catalogue_ == nullptr) return nullptr;
   const auto it = catalogue_->find(name);
   return it == catalogue_->end() ? nullptr : &it->second;
 }
 
-const EngineClass* FleetPlanner::ClassOf(const Engine& engine) const {
+const EngineClass* FleetPlanner::FindClass(const Engine& engine) const {
   if (classes_ == nullptr) return nullptr;
   const auto it = classes_->find(engine.listed.service);
   return it == classes_->end() ? nullptr : &it->second;
@@ -171,12 +171,12 @@
 Duration FleetPlanner::LoadTime(const CatalogueEntry& entry,
                                 CheckpointTier tier) const {
   const auto index = static_cast<size_t>(tier);
-  const Duration told = entry.load_times[index];
-  return told > Duration::zero() ? told : kAssumedLoadTimes[index];
+  const Duration configured = entry.load_times[index];
+  return configured > Duration::zero() ? configured : kAssumedLoadTimes[index];
 }
 
 void FleetPlanner::IndexHoldings() {
-  for (const std::string& id : std::exchange(stale_, {})) {
+  for (const std::string& id : std::exchange(stale_engines_, {})) {
     const auto it = engines_.find(id);
     if (it == engines_.end() || !it->second.is_index_stale) continue;
     Unindex(id, it->second);
@@ -195,11 +195,11 @@
     return true;
   };
   for (const auto& [name, holding] : engine.holdings) {
-    if (engine.is_silent) break;
-    Whereabouts& where = index_[name];
-    if (holding.state == State::kReady) ++where.ready;
-    if (holding.state == State::kLoading) ++where.loading;
-    add(where.holders);
+    if (engine.is_unresponsive) break;
+    Locations& locations = index_[name];
+    if (holding.state == State::kReady) ++locations.ready;
+    if (holding.state == State::kLoading) ++locations.loading;
+    add(locations.holders);
     engine.indexed.push_back({name, /*is_copy=*/false, holding.state});
   }
   const auto add_copies = [&](const std::vector<std::string>& names) {
@@ -216,30 +216,30 @@
   for (const IndexedName& indexed : engine.indexed) {
     const auto it = index_.find(indexed.name);
     if (it == index_.end()) continue;
-    Whereabouts& where = it->second;
+    Locations& locations = it->second;
     if (indexed.is_copy) {
-      std::erase(where.copies, id);
+      std::erase(locations.copies, id);
     } else {
-      if (indexed.state == State::kReady) --where.ready;
-      if (indexed.state == State::kLoading) --where.loading;
-      std::erase(where.holders, id);
+      if (indexed.state == State::kReady) --locations.ready;
+      if (indexed.state == State::kLoading) --locations.loading;
+      std::erase(locations.holders, id);
     }
-    if (where.holders.empty() && where.copies.empty()) index_.erase(it);
+    if (locations.holders.empty() && locations.copies.empty()) index_.erase(it);
   }
   engine.indexed.clear();
 }
 
-void FleetPlanner::MarkStale(Engine& engine) {
+void FleetPlanner::MarkIndexStale(Engine& engine) {
   store_loads_.reset();
   engine.is_index_stale = true;
-  stale_.push_back(engine.listed.id);  // Duplicates are harmless.
+  stale_engines_.push_back(engine.listed.id);  // Duplicates are harmless.
 }
 
-const FleetPlanner::Whereabouts& FleetPlanner::WhereIs(
+const FleetPlanner::Locations& FleetPlanner::Locate(
     const std::string& name) const {
-  static const Whereabouts kNowhere;
+  static const Locations kNoLocations;
   const auto it = index_.find(name);
-  return it == index_.end() ? kNowhere : it->second;
+  return it == index_.end() ? kNoLocations : it->second;
 }
 
 int FleetPlanner::StoreLoads() const {
@@ -247,7 +247,7 @@
   const auto loads =
       std::count_if(engines_.begin(), engines_.end(), [](const auto& item) {
         const std::optional<OpenOrder>& order = item.second.model_order;
-        return order && !item.second.is_silent &&
+        return order && !item.second.is_unresponsive &&
                order->kind == OrderKind::kLoad &&
                order->tier == CheckpointTier::kRemote;
       });
@@ -255,20 +255,20 @@
   return *store_loads_;
 }
 
-bool FleetPlanner::HasStoreRoom(const std::string& service,
-                                TimePoint now) const {
+bool FleetPlanner::HasStoreCapacity(const std::string& service,
+                                    TimePoint now) const {
   if (StoreLoads() >= static_cast<int>(store_width_)) return false;
   const auto engine_class = classes_->find(service);
   if (engine_class == classes_->end()) return false;
   const auto recent = std::count_if(
-      store_loads_begun_.begin(), store_loads_begun_.end(),
-      [now](TimePoint begun) { return now - begun < kStoreWindow; });
+      store_load_starts_.begin(), store_load_starts_.end(),
+      [now](TimePoint started) { return now - started < kStoreWindow; });
   return static_cast<double>(recent) <
          engine_class->second.store_loads_per_second * ToSeconds(kStoreWindow);
 }
 
 bool FleetPlanner::MayOrder(const Engine& engine) const {
-  return engine.is_known && !engine.is_silent && !engine.is_rejecting &&
+  return engine.is_known && !engine.is_unresponsive && !engine.is_rejecting &&
          !engine.listed.is_leaving && !engine.call;
 }
 
@@ -301,9 +301,9 @@
   double arrivals = 0;
   for (const auto& [name, holding] : it->second.holdings) {
     if (holding.state != State::kReady) continue;
-    const double share = ShareOf(engine);
+    const double share = ReplicaShare(engine);
     const double all =
-        std::max({CapacityFor(name, WhereIs(name)), share, kLeastCapacity});
+        std::max({ReadyCapacity(name, Locate(name)), share, kMinCapacity});
     arrivals += usage_.Rate(name, now) * share / all;
   }
   return arrivals;
@@ -314,17 +314,18 @@
   return it == engines_.end() || !it->second.is_known ? 0 : it->second.version;
 }
 
-void FleetPlanner::Note(std::string event, const std::string& engine,
-                        const std::string& target, std::string reason,
-                        Duration took) {
-  notes_.push_back({std::move(event), engine, target, std::move(reason), took});
+void FleetPlanner::Record(std::string event, const std::string& engine,
+                          const std::string& target, std::string reason,
+                          Duration took) {
+  events_.push_back(
+      {std::move(event), engine, target, std::move(reason), took});
 }
 
 // ---- Listings and reports ----
 
-void FleetPlanner::Changed(Engine& engine) {
+void FleetPlanner::RecordChange(Engine& engine) {
   ++engine.version;
-  MarkStale(engine);
+  MarkIndexStale(engine);
 }
 
 void FleetPlanner::SetServers(const EngineList& servers, TimePoint now) {
@@ -343,16 +344,16 @@
     const TimePoint started_at = engine.listed.started_at;
     // A report may show a later incarnation than the listing.
     if (StartedAfter(started_at, server.started_at)) continue;
-    if (StartedAfter(server.started_at, started_at)) StartAnew(engine);
+    if (StartedAfter(server.started_at, started_at)) ResetEngine(engine);
     const bool was_leaving = engine.listed.is_leaving;
-    const bool is_moved =
+    const bool has_changed =
         engine.listed.id != server.id ||
         engine.listed.in_host_memory != server.in_host_memory ||
         engine.listed.on_disk != server.on_disk;
     engine.listed = server;
-    if (is_moved) MarkStale(engine);
+    if (has_changed) MarkIndexStale(engine);
     engine.listed.started_at = std::max(started_at, server.started_at);
-    if (was_leaving != server.is_leaving) Changed(engine);
+    if (was_leaving != server.is_leaving) RecordChange(engine);
     if (!engine.is_known || !engine.model_order) continue;
     // The listing can show the end of an order before the next report is due.
     const OpenOrder& order = *engine.model_order;
@@ -360,15 +361,15 @@
     const bool is_done =
         order.is_accepted && now - order.sent_at >= kReportLag &&
         (order.kind == OrderKind::kLoad ? is_listed : !is_listed);
-    if (is_done) engine.report_at = std::min(engine.report_at, now);
+    if (is_done) engine.next_report_at = std::min(engine.next_report_at, now);
   }
 }
 
 // Resets an engine that has restarted: it holds nothing, has no open order and
 // counts its orders from zero. With the earlier incarnation's count each report
 // would look outdated, and the engine would never get an order again.
-void FleetPlanner::StartAnew(Engine& engine) {
-  Note("engine_restarted", engine.listed.id, "", "later start time");
+void FleetPlanner::ResetEngine(Engine& engine) {
+  Record("engine_restarted", engine.listed.id, "", "later start time");
   Engine fresh;
   fresh.listed = std::move(engine.listed);
   fresh.listed.models.clear();
@@ -376,15 +377,15 @@
   fresh.version = engine.version;
   fresh.indexed = std::move(engine.indexed);
   engine = std::move(fresh);
-  Changed(engine);
+  RecordChange(engine);
 }
 
 void FleetPlanner::TakeReport(const HostReport& report, TimePoint now) {
-  usage_.Take(report, now);
+  usage_.ApplyReport(report, now);
   IndexHoldings();
   for (const HostReport::Waiting& row : report.waiting) {
     if (row.count <= 0) continue;
-    for (const std::string& id : WhereIs(row.target).holders) {
+    for (const std::string& id : Locate(row.target).holders) {
       Engine& engine = engines_.at(id);
       const auto it = engine.holdings.find(row.target);
       if (it == engine.holdings.end()) continue;
@@ -394,31 +395,31 @@
           now - it->second.since < kReportLag) {
         continue;
       }
-      engine.report_at = std::min(engine.report_at, now);
+      engine.next_report_at = std::min(engine.next_report_at, now);
     }
   }
 }
 
-void FleetPlanner::TakeInventory(const Inventory& inventory, TimePoint asked_at,
-                                 TimePoint now) {
+void FleetPlanner::TakeInventory(const Inventory& inventory,
+                                 TimePoint requested_at, TimePoint now) {
   const auto it = engines_.find(inventory.engine);
   if (it == engines_.end()) return;
   Engine& engine = it->second;
   const TimePoint started_at = engine.listed.started_at;
   if (StartedAfter(started_at, inventory.started_at)) return;
-  if (StartedAfter(inventory.started_at, started_at)) StartAnew(engine);
+  if (StartedAfter(inventory.started_at, started_at)) ResetEngine(engine);
   engine.listed.started_at = std::max(started_at, inventory.started_at);
   engine.unanswered_since = TimePoint{};  // Any answer shows a live engine.
-  if (asked_at < engine.report_sent_at) return;  // A later request is open.
+  if (requested_at < engine.report_sent_at) return;  // A later request is open.
   engine.report_sent_at = TimePoint{};
-  engine.report_at = now + kIdleReport;
+  engine.next_report_at = now + kIdleReportInterval;
   if (inventory.accepted_orders < engine.accepted_orders) {
     // Written before the last order was accepted.
-    engine.report_at = now + kEndPoll;
+    engine.next_report_at = now + kEndPollInterval;
     return;
   }
   if (engine.call) {
-    engine.report_at = now + kEndPoll;
+    engine.next_report_at = now + kEndPollInterval;
     return;
   }
   const bool has_advanced = inventory.accepted_orders > engine.accepted_orders;
@@ -428,39 +429,39 @@
     if (has_advanced || inventory.is_busy) {
       order.is_unanswered = false;
       order.is_accepted = true;
-    } else if (asked_at - order.sent_at >= kReportLag) {
+    } else if (requested_at - order.sent_at >= kReportLag) {
       // Not accepted so far. The next order states the same count, so at most
       // one of the two is executed.
-      Note("order_lost", inventory.engine, order.name, "not accepted");
-      DropCall(engine, OpenOrder(order), now);
+      Record("order_lost", inventory.engine, order.name, "not accepted");
+      RevertOrder(engine, OpenOrder(order), now);
     }
   }
-  Adopt(engine, inventory, asked_at, now);
-  DropAbsent(engine, inventory, asked_at);
+  AdoptReplicas(engine, inventory, requested_at, now);
+  RemoveAbsent(engine, inventory, requested_at);
   if (engine.model_order) {
     OpenOrder& order = *engine.model_order;
     // The report's count includes the order (outdated reports return above), so
     // it was written after the order was accepted, whatever its lag.
     if (order.is_accepted && !inventory.is_busy) {
-      EndModelOrder(engine, now);
+      FinishModelOrder(engine, now);
     } else {
-      engine.report_at = NextReport(order, now);
+      engine.next_report_at = NextReportTime(order, now);
     }
   } else if (inventory.is_busy) {
     // An order of an earlier owner; reports show its effect when it ends.
-    engine.report_at = now + kEndPoll;
+    engine.next_report_at = now + kEndPollInterval;
   }
   // A load in progress for an earlier owner is not in the report until it ends.
   // If its memory counted as free, another load would be ordered into it and
   // the engine would crash.
   engine.is_known = !inventory.is_busy || engine.model_order.has_value();
-  Changed(engine);
+  RecordChange(engine);
 }
 
-void FleetPlanner::Adopt(Engine& engine, const Inventory& inventory,
-                         TimePoint asked_at, TimePoint now) {
+void FleetPlanner::AdoptReplicas(Engine& engine, const Inventory& inventory,
+                                 TimePoint requested_at, TimePoint now) {
   for (const Replica& replica : inventory.replicas) {
-    const CatalogueEntry* entry = EntryOf(replica.name);
+    const CatalogueEntry* entry = FindEntry(replica.name);
     const auto [it, is_new] = engine.holdings.try_emplace(replica.name);
     Holding& holding = it->second;
     if (is_new) {
@@ -478,10 +479,10 @@
       holding.since = now;
       if (is_model && engine.model_order &&
           engine.model_order->name == replica.name) {
-        EndModelOrder(engine, now);
+        FinishModelOrder(engine, now);
       }
     } else if (holding.state == State::kUnloading && !inventory.is_busy &&
-               asked_at - holding.since >= kReportLag) {
+               requested_at - holding.since >= kReportLag) {
       // The unload was not executed.
       holding.state = State::kReady;
       holding.since = now;
@@ -489,8 +490,8 @@
   }
 }
 
-void FleetPlanner::DropAbsent(Engine& engine, const Inventory& inventory,
-                              TimePoint asked_at) {
+void FleetPlanner::RemoveAbsent(Engine& engine, const Inventory& inventory,
+                                TimePoint requested_at) {
   std::set<std::string> present;
   for (const Replica& replica : inventory.replicas) {
     present.insert(replica.name);
@@ -501,14 +502,14 @@
     const bool is_over = engine.model_order &&
                          engine.model_order->name == item.first &&
                          engine.model_order->is_accepted && !inventory.is_busy;
-    if (!is_over && asked_at - holding.since < kReportLag) return false;
-    const bool is_awaited = engine.model_order &&
-                            engine.model_order->name == item.first &&
-                            holding.state == State::kLoading;
-    if (is_awaited && (inventory.is_busy || !engine.model_order->is_accepted)) {
+    if (!is_over && requested_at - holding.since < kReportLag) return false;
+    const bool is_load = engine.model_order &&
+                         engine.model_order->name == item.first &&
+                         holding.state == State::kLoading;
+    if (is_load && (inventory.is_busy || !engine.model_order->is_accepted)) {
       return false;
     }
-    if (is_awaited) Note("load_failed", engine.listed.id, item.first, "absent");
+    if (is_load) Record("load_failed", engine.listed.id, item.first, "absent");
     return true;
   });
   // Adapters are unloaded with their model.
@@ -518,37 +519,37 @@
   });
 }
 
-void FleetPlanner::EndModelOrder(Engine& engine, TimePoint now) {
+void FleetPlanner::FinishModelOrder(Engine& engine, TimePoint now) {
   const OpenOrder order = *engine.model_order;
   engine.model_order.reset();
   store_loads_.reset();
   const auto it = engine.holdings.find(order.name);
   const Duration took = now - order.sent_at;
   if (order.kind == OrderKind::kUnload) {
-    Note("unloaded", engine.listed.id, order.name, "", took);
+    Record("unloaded", engine.listed.id, order.name, "", took);
     return;
   }
   if (it == engine.holdings.end()) return;
   if (it->second.state == State::kReady) {
-    Note("load_ready", engine.listed.id, order.name, TierName(order.tier),
-         took);
-    LearnStoreWidth(order, now);
+    Record("load_ready", engine.listed.id, order.name, TierName(order.tier),
+           took);
+    UpdateStoreWidth(order, now);
   }
 }
 
 // Beyond its width the weight store slows all loads in proportion to their
 // number, so the width is the number of loads divided by the slowdown.
-void FleetPlanner::LearnStoreWidth(const OpenOrder& order, TimePoint now) {
+void FleetPlanner::UpdateStoreWidth(const OpenOrder& order, TimePoint now) {
   if (!policies_.Has(Policy::kStoreWidth)) return;
   if (order.tier != CheckpointTier::kRemote) return;
-  const CatalogueEntry* entry = EntryOf(order.name);
+  const CatalogueEntry* entry = FindEntry(order.name);
   if (entry == nullptr) return;
   const double ratio =
       ToSeconds(now - order.sent_at) / ToSeconds(LoadTime(*entry, order.tier));
-  if (ratio < kSlowedLoad) {
+  if (ratio < kSlowedLoadRatio) {
     const bool was_filled = order.store_loads_at_start >= store_width_;
     if (was_filled && !is_store_width_known_) {
-      store_width_ = std::min(store_width_ * 2, kMostStoreWidth);
+      store_width_ = std::min(store_width_ * 2, kMaxStoreWidth);
     }
     return;
   }
@@ -590,9 +591,9 @@
     holding = {State::kLoading, entry.base, entry.bytes, now};
     open.expected_end = now + (is_model ? LoadTime(entry, tier) : kAdapterLoad);
     if (is_model && tier == CheckpointTier::kRemote) {
-      store_loads_begun_.push_back(now);
-      while (now - store_loads_begun_.front() > kStoreWindow) {
-        store_loads_begun_.pop_front();
+      store_load_starts_.push_back(now);
+      while (now - store_load_starts_.front() > kStoreWindow) {
+        store_load_starts_.pop_front();
       }
       open.store_loads_at_start = StoreLoads() + 1;
     }
@@ -603,19 +604,19 @@
   }
   engine.call = open;
   if (is_model) engine.model_order = open;
-  Changed(engine);
-  Note(kind == OrderKind::kLoad ? "load_ordered" : "unload_ordered",
-       engine.listed.id, entry.name, reason);
+  RecordChange(engine);
+  Record(kind == OrderKind::kLoad ? "load_ordered" : "unload_ordered",
+         engine.listed.id, entry.name, reason);
   orders.push_back({engine.listed.id, engine.listed.address, std::move(order)});
 }
 
-void FleetPlanner::Accept(Engine& engine, const OpenOrder& call) {
+void FleetPlanner::ApplyAccepted(Engine& engine, const OpenOrder& call) {
   ++engine.accepted_orders;
   if (engine.model_order && engine.model_order->id == call.id) {
     engine.model_order->is_accepted = true;
     engine.refused_loads = 0;
-    engine.report_at =
-        std::min(call.expected_end + kFirstEndPoll, call.sent_at + LoadPoll());
+    engine.next_report_at = std::min(call.expected_end + kFirstEndPollDelay,
+                                     call.sent_at + LoadPoll());
     return;
   }
   const auto it = engine.holdings.find(call.name);
@@ -623,11 +624,11 @@
   if (call.kind == OrderKind::kUnload) {
     engine.holdings.erase(it);
   }
-  Changed(engine);
+  RecordChange(engine);
 }
 
-void FleetPlanner::DropCall(Engine& engine, const OpenOrder& call,
-                            TimePoint now) {
+void FleetPlanner::RevertOrder(Engine& engine, const OpenOrder& call,
+                               TimePoint now) {
   if (engine.model_order && engine.model_order->id == call.id) {
     engine.model_order.reset();
     store_loads_.reset();
@@ -640,7 +641,7 @@
     it->second.state = State::kReady;
     it->second.since = now;
   }
-  Changed(engine);
+  RecordChange(engine);
 }
 
 void FleetPlanner::TakeOrderResult(const std::string& engine_id,
@@ -654,26 +655,26 @@
   engine.call.reset();
   const bool is_model =
       engine.model_order && engine.model_order->id == order_id;
-  if (TakeRefusedLoad(engine, call, result, now)) return;
+  if (HandleRefusedLoad(engine, call, result, now)) return;
   const std::optional<OpenOrder> unload =
       std::exchange(engine.unload_before, std::nullopt);
   if (unload && result == OrderResult::kAccepted) {
-    EndUnload(engine, *unload, now);
+    FinishUnload(engine, *unload, now);
     engine.reserved_for.clear();
   }
   if (result != OrderResult::kAccepted) {
-    Note("order_answered", engine_id, call.name, OrderResultName(result));
+    Record("order_answered", engine_id, call.name, OrderResultName(result));
   }
   switch (result) {
     case OrderResult::kAccepted:
-      Accept(engine, call);
+      ApplyAccepted(engine, call);
       return;
     case OrderResult::kDone:
       // The engine had nothing to do or has finished already. Its next report
       // shows whether it counted the order.
       if (!is_model && call.kind == OrderKind::kUnload) {
         // The usual answer: an unused adapter is unloaded at once.
-        Accept(engine, call);
+        ApplyAccepted(engine, call);
         return;
       }
       if (is_model) {
@@ -683,34 +684,34 @@
         holding->second.state = State::kReady;
         holding->second.since = now;
       }
-      Changed(engine);
+      RecordChange(engine);
       engine.is_known = false;
-      engine.report_at = now + kReportLag;
+      engine.next_report_at = now + kReportLag;
       return;
     case OrderResult::kUnanswered:
       if (is_model) {
         engine.model_order->is_unanswered = true;
       } else {
-        DropCall(engine, call, now);
+        RevertOrder(engine, call, now);
       }
-      engine.report_at = now + kReportLag;
+      engine.next_report_at = now + kReportLag;
       return;
     case OrderResult::kStaleFence:
       is_superseded_ = true;
-      DropCall(engine, call, now);
+      RevertOrder(engine, call, now);
       return;
     case OrderResult::kWrongIncarnation:
       engine.is_rejecting = true;
-      MarkStale(engine);
-      DropCall(engine, call, now);
+      MarkIndexStale(engine);
+      RevertOrder(engine, call, now);
       return;
     default:
       // Refused: the count differs, or another order is in progress.
-      DropCall(engine, call, now);
+      RevertOrder(engine, call, now);
       engine.is_known = false;
       // Accepts the count of the next report even if it is lower.
       engine.accepted_orders = 0;
-      engine.report_at = now + kReportLag;
+      engine.next_report_at = now + kReportLag;
       return;
   }
 }
@@ -718,32 +719,32 @@
 // Ends calls for which neither an answer nor a timeout was reported. Such a
 // call was lost in this process and would block its engine for all further
 // orders.
-void FleetPlanner::GiveUpCalls(TimePoint now) {
+void FleetPlanner::ExpireCalls(TimePoint now) {
   for (auto& [id, engine] : engines_) {
-    if (!engine.call || now - engine.call->sent_at < kCallLife) continue;
+    if (!engine.call || now - engine.call->sent_at < kCallTimeout) continue;
     TakeOrderResult(id, std::string(engine.call->id), OrderResult::kUnanswered,
                     now);
   }
 }
 
 Duration FleetPlanner::LoadPoll() const {
-  return kLoadPoll * std::max(1, open_model_orders_ / kLoadsAtFullPoll);
+  return kLoadPoll * std::max(1, open_model_orders_ / kOrdersAtFullPoll);
 }
 
 // Polls a late order less often the later it is. An unload waits for running
 // requests, possibly for seconds; at a fixed interval each such engine would be
 // polled 16 times per second.
-TimePoint FleetPlanner::NextReport(const OpenOrder& order,
-                                   TimePoint now) const {
+TimePoint FleetPlanner::NextReportTime(const OpenOrder& order,
+                                       TimePoint now) const {
   const Duration late = now - order.expected_end;
-  const Duration most = LoadPoll();
-  const Duration least =
-      std::clamp<Duration>(late / kLatePollShare, kEndPoll, most);
-  return std::clamp(order.expected_end, now + least, now + most);
+  const Duration max_interval = LoadPoll();
+  const Duration min_interval = std::clamp<Duration>(
+      late / kLatePollDivisor, kEndPollInterval, max_interval);
+  return std::clamp(order.expected_end, now + min_interval, now + max_interval);
 }
 
-void FleetPlanner::AskForReports(TimePoint now,
-                                 std::vector<OrderToSend>& orders) {
+void FleetPlanner::RequestReports(TimePoint now,
+                                  std::vector<OrderToSend>& orders) {
   open_model_orders_ = static_cast<int>(std::count_if(
       engines_.begin(), engines_.end(),
       [](const auto& item) { return item.second.model_order.has_value(); }));
@@ -755,15 +756,15 @@
       if (now - holding.since < kAdapterLoad) continue;
       holding.state = State::kReady;
       holding.since = now;
-      Changed(engine);
+      RecordChange(engine);
     }
-    if (engine.report_at > now || engine.is_rejecting) continue;
-    if (ClassOf(engine) == nullptr) continue;  // Unknown service.
+    if (engine.next_report_at > now || engine.is_rejecting) continue;
+    if (FindClass(engine) == nullptr) continue;  // Unknown service.
     const bool is_under_way = engine.report_sent_at != TimePoint{} &&
                               now - engine.report_sent_at < kReportTimeout;
     if (is_under_way) continue;
     engine.report_sent_at = now;
-    engine.report_at = now + kReportTimeout;
+    engine.next_report_at = now + kReportTimeout;
     if (engine.unanswered_since == TimePoint{}) engine.unanswered_since = now;
     EngineOrder order;
     order.id = absl::StrCat("report.", ++last_order_);
@@ -779,40 +780,42 @@
 // still counted as ready or loading there, no other engine would load them.
 // Its holdings remain recorded, as it may run and only be unreachable from this
 // host.
-void FleetPlanner::NoteSilence(TimePoint now) {
+void FleetPlanner::UpdateResponsiveness(TimePoint now) {
   for (auto& [id, engine] : engines_) {
-    const bool is_silent = policies_.Has(Policy::kSilence) &&
-                           engine.unanswered_since != TimePoint{} &&
-                           now - engine.unanswered_since > kSilence;
-    if (is_silent == engine.is_silent) continue;
-    engine.is_silent = is_silent;
-    MarkStale(engine);
+    const bool is_unresponsive =
+        policies_.Has(Policy::kSilence) &&
+        engine.unanswered_since != TimePoint{} &&
+        now - engine.unanswered_since > kUnresponsiveAfter;
+    if (is_unresponsive == engine.is_unresponsive) continue;
+    engine.is_unresponsive = is_unresponsive;
+    MarkIndexStale(engine);
     const std::string order =
         engine.model_order ? engine.model_order->name : std::string();
-    Note(is_silent ? "engine_silent" : "engine_answers", id, order,
-         "report requests",
-         is_silent ? now - engine.unanswered_since : Duration{0});
+    Record(is_unresponsive ? "engine_silent" : "engine_answers", id, order,
+           "report requests",
+           is_unresponsive ? now - engine.unanswered_since : Duration{0});
   }
 }
 
 // ---- Decisions ----
 
 // Returns the worth per second that is lost if `engine` unloads `model`.
-double FleetPlanner::LossOf(const Engine& engine, const std::string& model,
-                            TimePoint now) const {
+double FleetPlanner::EvictionLoss(const Engine& engine,
+                                  const std::string& model,
+                                  TimePoint now) const {
   double worth = usage_.WorthRate(model, now);
   for (const auto& [name, holding] : engine.holdings) {
     if (holding.base == model) worth += usage_.WorthRate(name, now);
   }
-  const int others = WhereIs(model).ready - 1;
+  const int others = Locate(model).ready - 1;
   const auto busy = busy_.find(model);
   const double rate = busy == busy_.end() ? 0 : busy->second.rate;
   if (others <= 0) return worth;
-  const double unmet = Unmet(
-      rate, CapacityFor(model, WhereIs(model)) - ShareOf(engine.listed.id));
+  const double unmet = Unmet(rate, ReadyCapacity(model, Locate(model)) -
+                                       ReplicaShare(engine.listed.id));
   const bool is_last_pair = policies_.Has(Policy::kLastPair) &&
                             others < kBusyReplicas && rate >= kBusyRate;
-  return worth * (unmet + (is_last_pair ? kReplicaLoss : kSpareLoss));
+  return worth * (unmet + (is_last_pair ? kLastPairLoss : kSpareLoss));
 }
 
 // Returns the models with the lowest loss that together free `needed` bytes;
@@ -828,13 +831,13 @@
   std::vector<Candidate> candidates;
   for (const auto& [name, holding] : engine.holdings) {
     if (!holding.base.empty() || holding.state != State::kReady) continue;
-    if (now - holding.since < kLeastResidency) continue;
-    if (usage_.IsWaitedFor(name)) continue;
-    double loss = LossOf(engine, name, now);
+    if (now - holding.since < kMinResidency) continue;
+    if (usage_.HasWaiting(name)) continue;
+    double loss = EvictionLoss(engine, name, now);
     // Of equals prefers the one with the most replicas, which tell the busy
     // models before usage is known, and then the oldest.
-    loss -= kOthersShare * std::min(kMostOthers, WhereIs(name).ready);
-    loss -= kAgeShare * ToSeconds(now - holding.since);
+    loss -= kReplicaBonus * std::min(kMaxBonusReplicas, Locate(name).ready);
+    loss -= kAgeBonus * ToSeconds(now - holding.since);
     if (usage_.RunningOn(engine.listed.id, name) > 0) {
       loss += kBusyVictimSeconds;
     }
@@ -855,14 +858,14 @@
   return victims;
 }
 
-std::optional<FleetPlanner::Option> FleetPlanner::OptionOn(
+std::optional<FleetPlanner::Option> FleetPlanner::MakeOption(
     Engine& engine, const CatalogueEntry& entry, double worth,
     bool is_background, TimePoint now, Search& search) {
-  const EngineClass* engine_class = ClassOf(engine);
+  const EngineClass* engine_class = FindClass(engine);
   if (engine_class == nullptr || engine.listed.service != entry.service) {
     return std::nullopt;
   }
-  if (!engine.is_known || engine.is_silent || engine.is_rejecting ||
+  if (!engine.is_known || engine.is_unresponsive || engine.is_rejecting ||
       engine.listed.is_leaving || engine.holdings.contains(entry.name)) {
     return std::nullopt;
   }
@@ -880,7 +883,7 @@
   Duration ready_in{0};
   if (engine.model_order) {
     const OpenOrder& open = *engine.model_order;
-    ready_in = std::max<Duration>(kEndPoll, open.expected_end - now);
+    ready_in = std::max<Duration>(kEndPollInterval, open.expected_end - now);
     if (open.kind == OrderKind::kUnload) {
       used -= engine.holdings[open.name].bytes;
     }
@@ -897,7 +900,7 @@
       return std::nullopt;
     }
     for (const std::string& victim : option.victims) {
-      loss += LossOf(engine, victim, now);
+      loss += EvictionLoss(engine, victim, now);
       ready_in += kUnloadTime;
       if (usage_.RunningOn(engine.listed.id, victim) > 0) {
         ready_in += FromSeconds(kBusyVictimSeconds);
@@ -922,14 +925,14 @@
 }
 
 void FleetPlanner::TryEngine(Engine& engine, const CatalogueEntry& entry,
-                             double worth, bool at_once_only, TimePoint now,
+                             double worth, bool only_if_idle, TimePoint now,
                              Search& search) {
-  if (at_once_only && (engine.model_order || !MayOrder(engine))) {
+  if (only_if_idle && (engine.model_order || !MayOrder(engine))) {
     search.Reject(PutOff::kEngineBusy);
     return;
   }
   std::optional<Option> option =
-      OptionOn(engine, entry, worth, at_once_only, now, search);
+      MakeOption(engine, entry, worth, only_if_idle, now, search);
   if (!option) return;
   if (search.best && search.best->cost <= option->cost) return;
   search.best = std::move(option);
@@ -937,19 +940,19 @@
 
 // Tries the few engines with a copy first. All others have to load from the
 // weight store and are tried only if it has capacity.
-FleetPlanner::Search FleetPlanner::BestOption(const CatalogueEntry& entry,
-                                              double worth, bool at_once_only,
+FleetPlanner::Search FleetPlanner::FindOption(const CatalogueEntry& entry,
+                                              double worth, bool only_if_idle,
                                               TimePoint now) {
   Search search;
-  for (const std::string& id : WhereIs(entry.name).copies) {
-    TryEngine(engines_.at(id), entry, worth, at_once_only, now, search);
+  for (const std::string& id : Locate(entry.name).copies) {
+    TryEngine(engines_.at(id), entry, worth, only_if_idle, now, search);
   }
-  if (!HasStoreRoom(entry.service, now)) {
+  if (!HasStoreCapacity(entry.service, now)) {
     search.Reject(PutOff::kStoreFull);
     return search;
   }
   for (auto& [id, engine] : engines_) {
-    TryEngine(engine, entry, worth, at_once_only, now, search);
+    TryEngine(engine, entry, worth, only_if_idle, now, search);
   }
   return search;
 }
@@ -958,20 +961,20 @@
 // a third of a second; without this check the decisions made every 25 ms
 // meanwhile would evict on up to nine engines for one replica, and the next
 // requests for the evicted models would meet a cold start.
-FleetPlanner::Engine* FleetPlanner::EngineMakingRoom(const std::string& model,
-                                                     TimePoint now) {
-  const auto made = room_made_on_.find(model);
-  if (made == room_made_on_.end()) return nullptr;
+FleetPlanner::Engine* FleetPlanner::FindEvictingEngine(const std::string& model,
+                                                       TimePoint now) {
+  const auto made = evicting_engines_.find(model);
+  if (made == evicting_engines_.end()) return nullptr;
   const auto it = engines_.find(made->second);
   if (it == engines_.end()) return nullptr;
   Engine& engine = it->second;
-  const bool is_usable =
-      !engine.listed.is_leaving && !engine.is_silent && !engine.is_rejecting;
-  const bool is_for_it = engine.is_making_room &&
-                         engine.reserved_for == model &&
-                         engine.reserved_until > now;
-  const bool is_at_work = engine.model_order || !MayOrder(engine);
-  return is_for_it && is_usable && is_at_work ? &engine : nullptr;
+  const bool is_usable = !engine.listed.is_leaving && !engine.is_unresponsive &&
+                         !engine.is_rejecting;
+  const bool is_for_model = engine.is_evicting &&
+                            engine.reserved_for == model &&
+                            engine.reserved_until > now;
+  const bool is_executing = engine.model_order || !MayOrder(engine);
+  return is_for_model && is_usable && is_executing ? &engine : nullptr;
 }
 
 // Returns true if a load may be sent before a report confirms the unload ahead
@@ -984,14 +987,14 @@
   if (!engine.model_order || !MayOrder(engine)) return false;
   const OpenOrder& unload = *engine.model_order;
   if (unload.kind != OrderKind::kUnload || !unload.is_accepted) return false;
-  if (now < unload.expected_end || now < engine.load_again_at) return false;
-  if (engine.refused_loads >= kMostRefusedLoads) return false;
+  if (now < unload.expected_end || now < engine.load_retry_at) return false;
+  if (engine.refused_loads >= kMaxRefusedLoads) return false;
   if (usage_.RunningOn(engine.listed.id, unload.name) > 0) return false;
   // Several engines may have evicted while the store has capacity for one load.
   const bool is_from_store =
       TierOn(engine, entry.name) == CheckpointTier::kRemote;
-  if (is_from_store && !HasStoreRoom(entry.service, now)) return false;
-  const EngineClass* engine_class = ClassOf(engine);
+  if (is_from_store && !HasStoreCapacity(entry.service, now)) return false;
+  const EngineClass* engine_class = FindClass(engine);
   if (engine_class == nullptr) return false;
   uint64_t freed = 0;
   for (const auto& [name, holding] : engine.holdings) {
@@ -1002,65 +1005,64 @@
   return UsedBytes(engine) + entry.bytes <= engine_class->memory_bytes + freed;
 }
 
-void FleetPlanner::EndUnload(Engine& engine, const OpenOrder& unload,
-                             TimePoint now) {
+void FleetPlanner::FinishUnload(Engine& engine, const OpenOrder& unload,
+                                TimePoint now) {
   std::erase_if(engine.holdings, [&](const auto& item) {
     return item.first == unload.name || item.second.base == unload.name;
   });
-  Note("unloaded", engine.listed.id, unload.name, "confirmed by the next order",
-       now - unload.sent_at);
-  Changed(engine);
+  Record("unloaded", engine.listed.id, unload.name,
+         "confirmed by the next order", now - unload.sent_at);
+  RecordChange(engine);
 }
 
 // Handles the refusal of a load sent before its unload was confirmed: the
 // unload is still in progress. Returns false for any other answer.
-bool FleetPlanner::TakeRefusedLoad(Engine& engine, const OpenOrder& call,
-                                   OrderResult result, TimePoint now) {
+bool FleetPlanner::HandleRefusedLoad(Engine& engine, const OpenOrder& call,
+                                     OrderResult result, TimePoint now) {
   if (!engine.unload_before || result != OrderResult::kBusy) return false;
-  DropCall(engine, call, now);
+  RevertOrder(engine, call, now);
   engine.model_order = std::move(engine.unload_before);
   engine.unload_before.reset();
   store_loads_.reset();
   ++engine.refused_loads;
-  engine.load_again_at = now + kEndPoll;
+  engine.load_retry_at = now + kEndPollInterval;
   return true;
 }
 
 PutOff FleetPlanner::PlaceModel(const CatalogueEntry& entry, double worth,
-                                const std::string& reason, bool at_once_only,
+                                const std::string& reason, bool only_if_idle,
                                 TimePoint now,
                                 std::vector<OrderToSend>& orders) {
-  if (Engine* prepared = EngineMakingRoom(entry.name, now)) {
+  if (Engine* prepared = FindEvictingEngine(entry.name, now)) {
     if (!MayLoadAfterUnload(*prepared, entry, now)) return PutOff::kEngineBusy;
     prepared->unload_before = prepared->model_order;
     SendOrder(*prepared, OrderKind::kLoad, entry, TierOn(*prepared, entry.name),
               reason, now, orders);
     return PutOff::kNone;
   }
-  const Search search = BestOption(entry, worth, at_once_only, now);
+  const Search search = FindOption(entry, worth, only_if_idle, now);
   const std::optional<Option>& option = search.best;
   if (!option) return search.put_off;
   Engine& engine = *option->engine;
   if (!MayOrder(engine) || engine.model_order) {
     // Waiting for this engine is faster than any other option.
-    if (!at_once_only) {
-      engine.is_making_room = false;
+    if (!only_if_idle) {
+      engine.is_evicting = false;
       engine.reserved_for = entry.name;
-      engine.reserved_until = now + kEndPoll;
+      engine.reserved_until = now + kEndPollInterval;
     }
     return PutOff::kEngineBusy;
   }
   engine.reserved_for = entry.name;
-  engine.reserved_until = now + kReservation;
-  engine.is_making_room = !option->victims.empty();
-  if (engine.is_making_room) {
-    room_made_on_[entry.name] = engine.listed.id;
-    const CatalogueEntry* victim = EntryOf(option->victims.front());
+  engine.reserved_until = now + kReservationTime;
+  engine.is_evicting = !option->victims.empty();
+  if (engine.is_evicting) {
+    evicting_engines_[entry.name] = engine.listed.id;
+    const CatalogueEntry* victim = FindEntry(option->victims.front());
     CatalogueEntry unknown;
     unknown.name = option->victims.front();
     SendOrder(engine, OrderKind::kUnload, victim ? *victim : unknown,
-              option->tier, absl::StrCat("evicted for ", entry.name), now,
-              orders);
+              option->tier, absl::StrCat("load of ", entry.name), now, orders);
     return PutOff::kNone;
   }
   engine.reserved_for.clear();
@@ -1068,7 +1070,7 @@
   return PutOff::kNone;
 }
 
-int FleetPlanner::AdapterSlotsTaken(const Engine& engine) {
+int FleetPlanner::UsedAdapterSlots(const Engine& engine) {
   const auto held =
       std::count_if(engine.holdings.begin(), engine.holdings.end(),
                     [](const auto& item) { return !item.second.base.empty(); });
@@ -1076,23 +1078,23 @@
 }
 
 // Unloads the evictable adapter with the lowest worth rate; false if none.
-bool FleetPlanner::MakeAdapterRoom(Engine& engine, TimePoint now,
-                                   std::vector<OrderToSend>& orders) {
+bool FleetPlanner::EvictAdapter(Engine& engine, TimePoint now,
+                                std::vector<OrderToSend>& orders) {
   std::string victim;
-  double least = 0;
+  double min_worth = 0;
   for (const auto& [name, holding] : engine.holdings) {
     if (holding.base.empty() || holding.state != State::kReady) continue;
-    if (usage_.IsWaitedFor(name) || now - holding.since < kReportLag) continue;
+    if (usage_.HasWaiting(name) || now - holding.since < kReportLag) continue;
     if (usage_.RunningOn(engine.listed.id, name) > 0) continue;
     const double worth = usage_.WorthRate(name, now);
-    if (!victim.empty() && worth >= least) continue;
+    if (!victim.empty() && worth >= min_worth) continue;
     victim = name;
-    least = worth;
+    min_worth = worth;
   }
-  const CatalogueEntry* entry = EntryOf(victim);
+  const CatalogueEntry* entry = FindEntry(victim);
   if (entry == nullptr) return false;
   SendOrder(engine, OrderKind::kUnload, *entry, CheckpointTier::kMemory,
-            "evicted for another adapter", now, orders);
+            "load of another adapter", now, orders);
   return true;
 }
 
@@ -1102,7 +1104,7 @@
   Engine* best = nullptr;
   uint64_t best_rank = 0;
   bool has_base = false;
-  for (const std::string& id : WhereIs(entry.base).holders) {
+  for (const std::string& id : Locate(entry.base).holders) {
     Engine& engine = engines_.at(id);
     const auto base = engine.holdings.find(entry.base);
     if (base == engine.holdings.end()) continue;
@@ -1110,10 +1112,9 @@
     if (base->second.state != State::kReady) continue;
     // Ranks engines by a hash of adapter and engine, so that an adapter is
     // loaded on the same engine again.
-    const uint64_t rank =
-        policies_.Has(Policy::kAdapterAffinity)
-            ? StableHash(absl::StrCat(entry.name, "|", id))
-            : static_cast<uint64_t>(AdapterSlotsTaken(engine));
+    const uint64_t rank = policies_.Has(Policy::kAdapterAffinity)
+                              ? StableHash(absl::StrCat(entry.name, "|", id))
+                              : static_cast<uint64_t>(UsedAdapterSlots(engine));
     // Engines refuse adapters during a model load or unload.
     if (engine.model_order) continue;
     if (best != nullptr && rank >= best_rank) continue;
@@ -1121,7 +1122,7 @@
     best_rank = rank;
   }
   if (!has_base) {
-    const CatalogueEntry* base = EntryOf(entry.base);
+    const CatalogueEntry* base = FindEntry(entry.base);
     if (base != nullptr) {
       PlaceModel(*base, worth, absl::StrCat("for ", entry.name), false, now,
                  orders);
@@ -1134,11 +1135,11 @@
         return !item.second.base.empty() &&
                item.second.state == State::kLoading;
       });
-  if (loading >= kAdaptersAtOnce) return;
-  const EngineClass* engine_class = ClassOf(*best);
+  if (loading >= kMaxConcurrentAdapterLoads) return;
+  const EngineClass* engine_class = FindClass(*best);
   if (engine_class == nullptr) return;
-  if (AdapterSlotsTaken(*best) >= engine_class->adapter_slots) {
-    MakeAdapterRoom(*best, now, orders);
+  if (UsedAdapterSlots(*best) >= engine_class->adapter_slots) {
+    EvictAdapter(*best, now, orders);
     return;
   }
   if (UsedBytes(*best) + entry.bytes >
@@ -1153,33 +1154,33 @@
                                 std::vector<OrderToSend>& orders) {
   // Estimates when the store can deliver each target, highest worth first, so
   // that hosts can refuse requests that would miss their deadline.
-  store_turn_.clear();
+  store_ready_at_.clear();
   TimePoint store_free_at = now;
   for (const auto& [id, engine] : engines_) {
     const auto& order = engine.model_order;
-    if (!order || engine.is_silent) continue;
+    if (!order || engine.is_unresponsive) continue;
     if (order->tier != CheckpointTier::kRemote) continue;
     store_free_at = std::max(store_free_at, order->expected_end);
   }
   for (const UsageTable::Demand& demand : usage_.Waiting()) {
-    const CatalogueEntry* entry = EntryOf(demand.target);
+    const CatalogueEntry* entry = FindEntry(demand.target);
     if (entry == nullptr) continue;
-    const Whereabouts& where = WhereIs(demand.target);
-    if (where.ready + where.loading > 0) continue;
+    const Locations& locations = Locate(demand.target);
+    if (locations.ready + locations.loading > 0) continue;
     const std::string& model = entry->base.empty() ? entry->name : entry->base;
-    const Whereabouts& base = WhereIs(model);
-    const CatalogueEntry* model_entry = EntryOf(model);
+    const Locations& base = Locate(model);
+    const CatalogueEntry* model_entry = FindEntry(model);
     if (base.holders.empty() && base.copies.empty() && model_entry) {
       const Duration load = LoadTime(*model_entry, CheckpointTier::kRemote);
-      if (!HasStoreRoom(entry->service, now)) {
-        store_turn_[demand.target] = store_free_at + load;
+      if (!HasStoreCapacity(entry->service, now)) {
+        store_ready_at_[demand.target] = store_free_at + load;
         store_free_at += Duration(static_cast<int64_t>(
             static_cast<double>(load.count()) / store_width_));
       }
     }
-    TimePoint& next_look = next_look_[demand.target];
-    if (next_look > now) continue;
-    next_look = now + kLookInterval;
+    TimePoint& next_attempt = next_attempts_[demand.target];
+    if (next_attempt > now) continue;
+    next_attempt = now + kPlacementInterval;
     if (!entry->base.empty()) {
       PlaceAdapter(*entry, demand.worth, now, orders);
       continue;
@@ -1188,21 +1189,21 @@
         *entry, demand.worth,
         absl::StrCat(demand.waiting, " waiting, worth ", demand.worth), false,
         now, orders);
-    NotePutOff(demand.target, put_off);
+    RecordDeferral(demand.target, put_off);
   }
-  if (next_look_.size() > kMostLooks) next_look_.clear();
-  if (put_off_.size() > kMostLooks) put_off_.clear();
-  if (room_made_on_.size() > kMostLooks) room_made_on_.clear();
+  if (next_attempts_.size() > kMaxTrackedTargets) next_attempts_.clear();
+  if (deferrals_.size() > kMaxTrackedTargets) deferrals_.clear();
+  if (evicting_engines_.size() > kMaxTrackedTargets) evicting_engines_.clear();
 }
 
 // Logs only changes of the reason: a refusal can be traced to it without a log
 // line per attempt.
-void FleetPlanner::NotePutOff(const std::string& target, PutOff reason) {
-  const auto [known, is_new] = put_off_.try_emplace(target, reason);
+void FleetPlanner::RecordDeferral(const std::string& target, PutOff reason) {
+  const auto [known, is_new] = deferrals_.try_emplace(target, reason);
   if (!is_new && known->second == reason) return;
   known->second = reason;
   if (reason == PutOff::kNone) return;
-  Note("load_put_off", "", target, PutOffName(reason));
+  Record("load_put_off", "", target, PutOffName(reason));
 }
 
 // Requests for adapters count for their base model, whose replicas serve them.
@@ -1211,7 +1212,7 @@
   summed_at_ = now;
   busy_.clear();
   for (const std::string& target : usage_.Targets()) {
-    const CatalogueEntry* entry = EntryOf(target);
+    const CatalogueEntry* entry = FindEntry(target);
     if (entry == nullptr) continue;
     const bool is_adapter = !entry->base.empty();
     Usage& sum = busy_[is_adapter ? entry->base : entry->name];
@@ -1219,7 +1220,7 @@
     sum.rate += usage_.Rate(target, now);
     sum.worth_rate += worth_rate;
     if (is_adapter) sum.adapter_worth_rate += worth_rate;
-    sum.running += usage_.Running(target);
+    sum.running += usage_.RunningForTarget(target);
   }
 }
 
@@ -1233,7 +1234,7 @@
     if (holding.state != State::kReady) continue;
     const auto busy = busy_.find(name);
     if (busy == busy_.end()) continue;
-    loss += busy->second.adapter_worth_rate / std::max(1, WhereIs(name).ready);
+    loss += busy->second.adapter_worth_rate / std::max(1, Locate(name).ready);
   }
   return loss * ToSeconds(duration) / 2;
 }
@@ -1249,23 +1250,23 @@
   return static_cast<int>(std::ceil(rate / kRatePerReplica - replicas));
 }
 
-double FleetPlanner::ShareOf(const std::string& engine) const {
+double FleetPlanner::ReplicaShare(const std::string& engine) const {
   const auto limit = limits_.find(engine);
   if (limit == limits_.end()) return 1;
   return std::min(1.0, limit->second / kRatePerReplica);
 }
 
-double FleetPlanner::CapacityFor(const std::string& name,
-                                 const Whereabouts& where) const {
-  double capacity = where.ready;
+double FleetPlanner::ReadyCapacity(const std::string& name,
+                                   const Locations& locations) const {
+  double capacity = locations.ready;
   if (limits_.empty()) return capacity;
-  for (const std::string& id : where.holders) {
+  for (const std::string& id : locations.holders) {
     const auto engine = engines_.find(id);
     if (engine == engines_.end()) continue;
     const auto holding = engine->second.holdings.find(name);
     const bool is_ready = holding != engine->second.holdings.end() &&
                           holding->second.state == State::kReady;
-    if (is_ready) capacity -= 1 - ShareOf(id);
+    if (is_ready) capacity -= 1 - ReplicaShare(id);
   }
   return std::max(0.0, capacity);
 }
@@ -1279,31 +1280,32 @@
       is_overloaded ? Policy::kOverloadReplicas : Policy::kSecondReplica;
   if (!policies_.Has(policy)) return;
   for (const auto& [model, busy] : busy_) {
-    const Whereabouts& where = WhereIs(model);
-    const double capacity = CapacityFor(model, where);
-    const bool is_limited = capacity < where.ready &&
-                            Unmet(busy.rate, capacity + where.loading) > 0;
+    const Locations& locations = Locate(model);
+    const double capacity = ReadyCapacity(model, locations);
+    const bool is_limited = capacity < locations.ready &&
+                            Unmet(busy.rate, capacity + locations.loading) > 0;
     if (busy.rate < kBusyRate && !is_limited) continue;
-    const CatalogueEntry* entry = EntryOf(model);
+    const CatalogueEntry* entry = FindEntry(model);
     if (entry == nullptr) continue;
-    if (where.loading >= std::max(1, MissingReplicas(busy.rate, capacity))) {
+    if (locations.loading >=
+        std::max(1, MissingReplicas(busy.rate, capacity))) {
       continue;
     }
     int slots = 0;
-    for (const std::string& id : where.holders) {
+    for (const std::string& id : locations.holders) {
       slots += engines_.at(id).listed.slots;
     }
-    const bool is_full = busy.running > kBusyShare * slots;
+    const bool is_full = busy.running > kBusyLoad * slots;
     const double unmet =
-        is_full ? kBusyShare : Unmet(busy.rate, capacity + where.loading);
-    if (where.ready >= kBusyReplicas && unmet <= 0) continue;
-    const double share = where.ready == 0 ? 1.0 : unmet + kReplicaWorth;
+        is_full ? kBusyLoad : Unmet(busy.rate, capacity + locations.loading);
+    if (locations.ready >= kBusyReplicas && unmet <= 0) continue;
+    const double share = locations.ready == 0 ? 1.0 : unmet + kReplicaWorth;
     if ((unmet > 0) != is_overloaded) continue;
     // A replica for an overloaded model may wait for an engine; a spare one is
     // loaded only where it can start at once.
     PlaceModel(*entry, busy.worth_rate * share * kReplicaHorizonSeconds,
                is_overloaded ? "overloaded" : "busy",
-               /*at_once_only=*/!is_overloaded, now, orders);
+               /*only_if_idle=*/!is_overloaded, now, orders);
   }
 }
 
@@ -1313,19 +1315,19 @@
 // would only slow each other.
 void FleetPlanner::SeedCopies(TimePoint now, std::vector<OrderToSend>& orders) {
   if (!policies_.Has(Policy::kSeeding)) return;
-  if (catalogue_ == nullptr || seeds_at_ > now) return;
-  seeds_at_ = now + kSeedInterval;
-  const int most = std::min(static_cast<int>(store_width_),
-                            static_cast<int>(engines_.size() + 1) / 2);
-  if (StoreLoads() >= most) return;
+  if (catalogue_ == nullptr || next_seed_at_ > now) return;
+  next_seed_at_ = now + kSeedInterval;
+  const int max_loads = std::min(static_cast<int>(store_width_),
+                                 static_cast<int>(engines_.size() + 1) / 2);
+  if (StoreLoads() >= max_loads) return;
   for (const auto& [name, entry] : *catalogue_) {
     if (!entry.base.empty() || entry.service.empty()) continue;
-    const Whereabouts& where = WhereIs(name);
-    if (!where.holders.empty() || !where.copies.empty()) continue;
+    const Locations& locations = Locate(name);
+    if (!locations.holders.empty() || !locations.copies.empty()) continue;
     const PutOff put_off = PlaceModel(entry, kSeedWorth, "no engine has a copy",
                                       true, now, orders);
     // Other models of this size would fail for the same reason.
-    if (put_off != PutOff::kNone || StoreLoads() >= most) return;
+    if (put_off != PutOff::kNone || StoreLoads() >= max_loads) return;
   }
 }
 
@@ -1333,17 +1335,17 @@
 // `engine` has a copy and which fits into its free memory; null if none.
 const CatalogueEntry* FleetPlanner::BestForFreeMemory(const Engine& engine,
                                                       TimePoint now) const {
-  const EngineClass* engine_class = ClassOf(engine);
+  const EngineClass* engine_class = FindClass(engine);
   if (engine_class == nullptr) return nullptr;
   const uint64_t used = UsedBytes(engine);
   const CatalogueEntry* best = nullptr;
   double best_worth = 0;
   const auto consider = [&](const std::vector<std::string>& names) {
     for (const std::string& name : names) {
-      const CatalogueEntry* entry = EntryOf(name);
+      const CatalogueEntry* entry = FindEntry(name);
       if (entry == nullptr || entry->service != engine.listed.service) continue;
       if (used + entry->bytes > engine_class->memory_bytes) continue;
-      if (!WhereIs(name).holders.empty()) continue;
+      if (!Locate(name).holders.empty()) continue;
       const double worth = usage_.WorthRate(name, now);
       if (best != nullptr && worth <= best_worth) continue;
       best = entry;
@@ -1362,29 +1364,29 @@
 // and longer for the second and third one, as the engine loads one at a time.
 void FleetPlanner::FillFreeMemory(TimePoint now,
                                   std::vector<OrderToSend>& orders) {
-  if (!policies_.Has(Policy::kFreeMemory) || fills_at_ > now) return;
-  fills_at_ = now + kFillInterval;
-  int begun = 0;
+  if (!policies_.Has(Policy::kFreeMemory) || next_fill_at_ > now) return;
+  next_fill_at_ = now + kFillInterval;
+  int started = 0;
   for (auto& [id, engine] : engines_) {
-    if (begun >= kMostFillsAtOnce) return;
-    const bool is_kept_free =
+    if (started >= kMaxFillsPerInterval) return;
+    const bool has_reservation =
         engine.reserved_until > now && !engine.reserved_for.empty();
-    if (engine.model_order || is_kept_free || !MayOrder(engine)) continue;
+    if (engine.model_order || has_reservation || !MayOrder(engine)) continue;
     const CatalogueEntry* entry = BestForFreeMemory(engine, now);
     if (entry == nullptr) continue;
     SendOrder(engine, OrderKind::kLoad, *entry, TierOn(engine, entry->name),
               "free memory", now, orders);
     IndexHoldings();  // So that the next engine does not load it as well.
-    ++begun;
+    ++started;
   }
 }
 
 void FleetPlanner::Decide(bool may_order, TimePoint now,
                           std::vector<OrderToSend>& orders) {
   usage_.Expire(now);
-  GiveUpCalls(now);
-  AskForReports(now, orders);
-  NoteSilence(now);
+  ExpireCalls(now);
+  RequestReports(now, orders);
+  UpdateResponsiveness(now);
   if (!may_order || is_superseded_ || classes_ == nullptr) return;
   IndexHoldings();
   SumUsage(now);
@@ -1401,22 +1403,22 @@
 DemandAnswer FleetPlanner::Answer(const std::string& target,
                                   TimePoint now) const {
   DemandAnswer answer{target, "", DemandStatus::kNoPlace, Duration{0}};
-  const CatalogueEntry* entry = EntryOf(target);
+  const CatalogueEntry* entry = FindEntry(target);
   if (entry == nullptr) return answer;
-  const Whereabouts& where = WhereIs(target);
-  if (where.ready > 0) {
+  const Locations& locations = Locate(target);
+  if (locations.ready > 0) {
     answer.status = DemandStatus::kReady;
     return answer;
   }
-  const auto put_off = put_off_.find(target);
-  if (put_off != put_off_.end()) answer.put_off = put_off->second;
-  const auto turn = store_turn_.find(target);
-  if (turn != store_turn_.end()) {
+  const auto put_off = deferrals_.find(target);
+  if (put_off != deferrals_.end()) answer.put_off = put_off->second;
+  const auto ready_at = store_ready_at_.find(target);
+  if (ready_at != store_ready_at_.end()) {
     answer.status = DemandStatus::kQueued;
-    answer.expected = std::max(Duration{0}, turn->second - now);
+    answer.expected = std::max(Duration{0}, ready_at->second - now);
     return answer;
   }
-  for (const std::string& id : where.holders) {
+  for (const std::string& id : locations.holders) {
     const auto engine = engines_.find(id);
     if (engine == engines_.end()) continue;
     const auto it = engine->second.holdings.find(target);
@@ -1436,9 +1438,9 @@
     return answer;
   }
   CheckpointTier tier = CheckpointTier::kRemote;
-  for (const std::string& id : where.copies) {
+  for (const std::string& id : locations.copies) {
     const auto engine = engines_.find(id);
-    if (engine == engines_.end() || engine->second.is_silent) continue;
+    if (engine == engines_.end() || engine->second.is_unresponsive) continue;
     tier = std::min(tier, TierOn(engine->second, target));
   }
   const bool has_engine =
@@ -1446,7 +1448,7 @@
         const Engine& engine = item.second;
         return engine.listed.service == entry->service &&
                !engine.listed.is_leaving && !engine.is_rejecting &&
-               !engine.is_silent;
+               !engine.is_unresponsive;
       });
   if (!has_engine) return answer;
   answer.status = DemandStatus::kQueued;
--- a/placement/fleet_planner.h
+++ b/placement/fleet_planner.h
@@ -46,7 +46,7 @@
   // Handles one host's report of waiting and running requests. Not thread-safe.
   void TakeReport(const HostReport& report, TimePoint now);
   // Handles an engine's report. Not thread-safe.
-  void TakeInventory(const Inventory& inventory, TimePoint asked_at,
+  void TakeInventory(const Inventory& inventory, TimePoint requested_at,
                      TimePoint now);
   // Handles an engine's answer to an order. Not thread-safe.
   void TakeOrderResult(const std::string& engine, const std::string& order_id,
@@ -63,7 +63,7 @@
   uint64_t VersionOf(const std::string& engine) const;
   // Requests of all hosts in progress on `engine`, as far as reported.
   int RequestsAt(const std::string& engine) const {
-    return usage_.RunningAt(engine);
+    return usage_.RunningOnEngine(engine);
   }
   // Requests per second for the targets that are ready on `engine`; of targets
   // with several replicas, this engine's share. Not thread-safe.
@@ -74,7 +74,7 @@
   bool IsQuiet() const;
   FencingToken token() const { return token_; }
   // Returns and clears the events since the last call. Not thread-safe.
-  std::vector<PlacementNote> TakeNotes() { return std::exchange(notes_, {}); }
+  std::vector<PlacementNote> TakeNotes() { return std::exchange(events_, {}); }
   Json ToJson(TimePoint now) const;
 
  private:
@@ -111,19 +111,19 @@
     std::optional<OpenOrder> model_order;
     // The single call, for a model or an adapter, that awaits its answer.
     std::optional<OpenOrder> call;
-    TimePoint report_at;       // When to request the next report.
+    TimePoint next_report_at;  // When to request the next report.
     TimePoint report_sent_at;  // Of the open report request; else epoch.
     // Send time of the first request since the last answer; epoch if none.
     TimePoint unanswered_since;
-    bool is_silent = false;  // No answer for kSilence.
+    bool is_unresponsive = false;  // No answer for kUnresponsiveAfter.
     std::string reserved_for;
     TimePoint reserved_until;
-    bool is_making_room = false;  // Unloads a model for `reserved_for`.
+    bool is_evicting = false;  // Unloads a model for `reserved_for`.
     // The accepted unload that the open load was sent after, until the engine's
     // answer to the load confirms that it is done.
     std::optional<OpenOrder> unload_before;
     int refused_loads = 0;  // Since that unload was accepted.
-    TimePoint load_again_at;
+    TimePoint load_retry_at;
     uint64_t version = 1;
     // This engine's entries in `index_`, removed when the engine changes.
     std::vector<IndexedName> indexed;
@@ -138,13 +138,13 @@
     Duration ready_in{0};
   };
 
-  const CatalogueEntry* EntryOf(const std::string& name) const;
-  const EngineClass* ClassOf(const Engine& engine) const;
+  const CatalogueEntry* FindEntry(const std::string& name) const;
+  const EngineClass* FindClass(const Engine& engine) const;
   uint64_t UsedBytes(const Engine& engine) const;
   CheckpointTier TierOn(const Engine& engine, const std::string& model) const;
   Duration LoadTime(const CatalogueEntry& entry, CheckpointTier tier) const;
   // The engines that hold a model or adapter, without those that are leaving.
-  struct Whereabouts {
+  struct Locations {
     int ready = 0;
     int loading = 0;
     std::vector<std::string> holders;  // In any state.
@@ -153,16 +153,16 @@
   void IndexHoldings();
   void Index(const std::string& id, Engine& engine);
   void Unindex(const std::string& id, Engine& engine);
-  void MarkStale(Engine& engine);
-  const Whereabouts& WhereIs(const std::string& name) const;
+  void MarkIndexStale(Engine& engine);
+  const Locations& Locate(const std::string& name) const;
   int StoreLoads() const;
 
-  void Changed(Engine& engine);
-  void StartAnew(Engine& engine);
+  void RecordChange(Engine& engine);
+  void ResetEngine(Engine& engine);
   void SumUsage(TimePoint now);
   double BlockedAdapterLoss(const Engine& engine, Duration duration) const;
-  double LossOf(const Engine& engine, const std::string& model,
-                TimePoint now) const;
+  double EvictionLoss(const Engine& engine, const std::string& model,
+                      TimePoint now) const;
   std::vector<std::string> ChooseVictims(const Engine& engine, uint64_t needed,
                                          TimePoint now) const;
   // The best option found so far; without one, the highest reason against it.
@@ -172,35 +172,36 @@
 
     void Reject(PutOff reason) { put_off = std::max(put_off, reason); }
   };
-  std::optional<Option> OptionOn(Engine& engine, const CatalogueEntry& entry,
-                                 double worth, bool is_background,
-                                 TimePoint now, Search& search);
-  Search BestOption(const CatalogueEntry& entry, double worth,
-                    bool at_once_only, TimePoint now);
+  std::optional<Option> MakeOption(Engine& engine, const CatalogueEntry& entry,
+                                   double worth, bool is_background,
+                                   TimePoint now, Search& search);
+  Search FindOption(const CatalogueEntry& entry, double worth,
+                    bool only_if_idle, TimePoint now);
   void TryEngine(Engine& engine, const CatalogueEntry& entry, double worth,
-                 bool at_once_only, TimePoint now, Search& search);
-  bool HasStoreRoom(const std::string& service, TimePoint now) const;
-  Engine* EngineMakingRoom(const std::string& model, TimePoint now);
+                 bool only_if_idle, TimePoint now, Search& search);
+  bool HasStoreCapacity(const std::string& service, TimePoint now) const;
+  Engine* FindEvictingEngine(const std::string& model, TimePoint now);
   bool MayLoadAfterUnload(const Engine& engine, const CatalogueEntry& entry,
                           TimePoint now) const;
-  void EndUnload(Engine& engine, const OpenOrder& unload, TimePoint now);
-  bool TakeRefusedLoad(Engine& engine, const OpenOrder& call,
-                       OrderResult result, TimePoint now);
+  void FinishUnload(Engine& engine, const OpenOrder& unload, TimePoint now);
+  bool HandleRefusedLoad(Engine& engine, const OpenOrder& call,
+                         OrderResult result, TimePoint now);
   // Returns why no order was sent; kNone if one was.
   PutOff PlaceModel(const CatalogueEntry& entry, double worth,
-                    const std::string& reason, bool at_once_only, TimePoint now,
+                    const std::string& reason, bool only_if_idle, TimePoint now,
                     std::vector<OrderToSend>& orders);
   void PlaceAdapter(const CatalogueEntry& entry, double worth, TimePoint now,
                     std::vector<OrderToSend>& orders);
-  bool MakeAdapterRoom(Engine& engine, TimePoint now,
-                       std::vector<OrderToSend>& orders);
-  static int AdapterSlotsTaken(const Engine& engine);
-  void NotePutOff(const std::string& target, PutOff reason);
+  bool EvictAdapter(Engine& engine, TimePoint now,
+                    std::vector<OrderToSend>& orders);
+  static int UsedAdapterSlots(const Engine& engine);
+  void RecordDeferral(const std::string& target, PutOff reason);
   void ServeWaiting(TimePoint now, std::vector<OrderToSend>& orders);
   // Capacity of an engine in replicas: one, or less if it has a rate limit.
-  double ShareOf(const std::string& engine) const;
+  double ReplicaShare(const std::string& engine) const;
   // Capacity in replicas of the engines on which `name` is ready.
-  double CapacityFor(const std::string& name, const Whereabouts& where) const;
+  double ReadyCapacity(const std::string& name,
+                       const Locations& locations) const;
   static double Unmet(double rate, double replicas);
   static int MissingReplicas(double rate, double replicas);
   void ReplicateBusy(bool is_overloaded, TimePoint now,
@@ -214,23 +215,23 @@
   void SendOrder(Engine& engine, OrderKind kind, const CatalogueEntry& entry,
                  CheckpointTier tier, const std::string& reason, TimePoint now,
                  std::vector<OrderToSend>& orders);
-  void GiveUpCalls(TimePoint now);
-  void NoteSilence(TimePoint now);
+  void ExpireCalls(TimePoint now);
+  void UpdateResponsiveness(TimePoint now);
   // Interval between reports of an engine that is executing a model order.
   Duration LoadPoll() const;
-  TimePoint NextReport(const OpenOrder& order, TimePoint now) const;
-  void AskForReports(TimePoint now, std::vector<OrderToSend>& orders);
-  void Accept(Engine& engine, const OpenOrder& call);
-  void DropCall(Engine& engine, const OpenOrder& call, TimePoint now);
-  void EndModelOrder(Engine& engine, TimePoint now);
-  void Adopt(Engine& engine, const Inventory& inventory, TimePoint asked_at,
-             TimePoint now);
-  void DropAbsent(Engine& engine, const Inventory& inventory,
-                  TimePoint asked_at);
-  void LearnStoreWidth(const OpenOrder& order, TimePoint now);
-  void Note(std::string event, const std::string& engine,
-            const std::string& target, std::string reason,
-            Duration took = Duration{0});
+  TimePoint NextReportTime(const OpenOrder& order, TimePoint now) const;
+  void RequestReports(TimePoint now, std::vector<OrderToSend>& orders);
+  void ApplyAccepted(Engine& engine, const OpenOrder& call);
+  void RevertOrder(Engine& engine, const OpenOrder& call, TimePoint now);
+  void FinishModelOrder(Engine& engine, TimePoint now);
+  void AdoptReplicas(Engine& engine, const Inventory& inventory,
+                     TimePoint requested_at, TimePoint now);
+  void RemoveAbsent(Engine& engine, const Inventory& inventory,
+                    TimePoint requested_at);
+  void UpdateStoreWidth(const OpenOrder& order, TimePoint now);
+  void Record(std::string event, const std::string& engine,
+              const std::string& target, std::string reason,
+              Duration took = Duration{0});
 
   Incarnation self_;
   FencingToken token_;
@@ -242,21 +243,21 @@
   // Index of all holdings and copies. Only changed engines are indexed again:
   // rebuilding the index and summing all usage for each decision took 1.0 ms at
   // 256 engines instead of 0.08 ms.
-  absl::flat_hash_map<std::string, Whereabouts> index_;
-  std::vector<std::string> stale_;  // Engines to index again.
+  absl::flat_hash_map<std::string, Locations> index_;
+  std::vector<std::string> stale_engines_;  // Engines to index again.
   // The engine that last evicted for a model. May be out of date: readers check
   // the engine's own state.
-  absl::flat_hash_map<std::string, std::string> room_made_on_;
+  absl::flat_hash_map<std::string, std::string> evicting_engines_;
   // Cached number of open loads from the weight store; empty if stale.
   mutable std::optional<int> store_loads_;
   // When placement of a waiting target is tried again, and when the weight
   // store can have delivered a target of which no engine has a copy.
-  absl::flat_hash_map<std::string, TimePoint> next_look_;
-  absl::flat_hash_map<std::string, TimePoint> store_turn_;
+  absl::flat_hash_map<std::string, TimePoint> next_attempts_;
+  absl::flat_hash_map<std::string, TimePoint> store_ready_at_;
   // Why no load of a waiting target was ordered at the last attempt.
-  absl::flat_hash_map<std::string, PutOff> put_off_;
-  TimePoint seeds_at_;
-  TimePoint fills_at_;
+  absl::flat_hash_map<std::string, PutOff> deferrals_;
+  TimePoint next_seed_at_;
+  TimePoint next_fill_at_;
   UsageTable usage_;
   // Usage of a model and its adapters; summed again at most each kSumInterval.
   struct Usage {
@@ -270,11 +271,11 @@
   int open_model_orders_ = 0;  // At the last decision.
   uint64_t last_order_ = 0;
   uint64_t last_sequence_ = 0;
-  std::deque<TimePoint> store_loads_begun_;
+  std::deque<TimePoint> store_load_starts_;
   double store_width_;
   bool is_store_width_known_ = false;  // A load was slowed by concurrent ones.
   bool is_superseded_ = false;
-  std::vector<PlacementNote> notes_;
+  std::vector<PlacementNote> events_;
 };
 
 }  // namespace applehall
--- a/placement/idle_policy.cc
+++ b/placement/idle_policy.cc
@@ -7,25 +7,25 @@
 namespace {
 
 // Shorter gaps belong to one burst and do not count as idle times.
-constexpr Duration kLeastGap = std::chrono::seconds(2);
+constexpr Duration kMinGap = std::chrono::seconds(2);
 constexpr double kBucketGrowth = 1.4142135623730951;
 // Decay of old gaps per new one, to adapt when a model's usage changes.
-constexpr float kFade = 0.97F;
+constexpr float kGapDecay = 0.97F;
 // Minimum cold start, even from host memory: the load must be ordered, detected
 // as ready and reported to the hosts.
-constexpr Duration kLeastColdStart = std::chrono::seconds(1);
-constexpr float kLeastWeightToTrust = 2.0F;
+constexpr Duration kMinColdStart = std::chrono::seconds(1);
+constexpr float kMinHistoryWeight = 2.0F;
 // Minimum number of idle times of all models before plans are made, and the
 // weight of the prior in idle times of the model itself.
-constexpr float kLeastPoolToTrust = 10.0F;
+constexpr float kMinPoolWeight = 10.0F;
 constexpr float kPriorWeight = 1.0F;
 // Idle seconds that equal one second of cold start at weight 0.5.
-constexpr double kBalance = 20.0;
+constexpr double kColdStartCost = 20.0;
 
 }  // namespace
 
 int IdlePolicy::BucketOf(Duration gap) {
-  const double ratio = ToSeconds(gap) / ToSeconds(kLeastGap);
+  const double ratio = ToSeconds(gap) / ToSeconds(kMinGap);
   if (ratio <= 1.0) return 0;
   const int bucket =
       static_cast<int>(std::log(ratio) / std::log(kBucketGrowth));
@@ -33,12 +33,11 @@
 }
 
 Duration IdlePolicy::BucketEnd(int bucket) {
-  return FromSeconds(ToSeconds(kLeastGap) *
-                     std::pow(kBucketGrowth, bucket + 1));
+  return FromSeconds(ToSeconds(kMinGap) * std::pow(kBucketGrowth, bucket + 1));
 }
 
 Duration IdlePolicy::BucketMiddle(int bucket) {
-  return FromSeconds(ToSeconds(kLeastGap) *
+  return FromSeconds(ToSeconds(kMinGap) *
                      std::pow(kBucketGrowth, bucket + 0.5));
 }
 
@@ -48,9 +47,9 @@
   const bool is_first = history.last_use == TimePoint{};
   const Duration gap = when - history.last_use;
   history.last_use = when;
-  if (is_first || gap < kLeastGap) return;
-  for (float& weight : history.gaps) weight *= kFade;
-  history.total = history.total * kFade + 1.0F;
+  if (is_first || gap < kMinGap) return;
+  for (float& weight : history.gaps) weight *= kGapDecay;
+  history.total = history.total * kGapDecay + 1.0F;
   history.gaps[BucketOf(gap)] += 1.0F;
   history.has_plan = false;
   pool_.gaps[BucketOf(gap)] += 1.0F;
@@ -65,7 +64,7 @@
 double IdlePolicy::ChanceOfUse(const std::string& model, Duration idle,
                                Duration span) const {
   const auto it = histories_.find(model);
-  if (it == histories_.end() || it->second.total < kLeastWeightToTrust) {
+  if (it == histories_.end() || it->second.total < kMinHistoryWeight) {
     return 0.5;
   }
   float still_open = 0.0F;
@@ -82,7 +81,7 @@
 IdlePlan IdlePolicy::PlanFor(const std::string& model, Duration load_time,
                              IdleWeights weights) const {
   const auto it = histories_.find(model);
-  if (it == histories_.end() || pool_.total < kLeastPoolToTrust) {
+  if (it == histories_.end() || pool_.total < kMinPoolWeight) {
     return {default_keep_, Duration{0}, Duration{0}};
   }
   History& history = it->second;
@@ -116,8 +115,8 @@
 IdlePlan IdlePolicy::MakePlan(const History& history, Duration load_time,
                               double weight) const {
   IdlePlan plan;
-  const double cold_cost = ToSeconds(std::max(load_time, kLeastColdStart)) *
-                           kBalance * weight / (1.0 - weight);
+  const double cold_cost = ToSeconds(std::max(load_time, kMinColdStart)) *
+                           kColdStartCost * weight / (1.0 - weight);
 
   // Cost of keeping the model until the end of each bucket: idle seconds for
   // all gaps, plus a cold start for gaps that end later.
--- a/placement/load_predictor.cc
+++ b/placement/load_predictor.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double kSmoothing = 0.2;
-constexpr double kLeastCorrection = 0.05;
-constexpr double kMostCorrection = 20.0;
+constexpr double kMinCorrection = 0.05;
+constexpr double kMaxCorrection = 20.0;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
   const size_t index = static_cast<size_t>(tier);
   const double assumed = static_cast<double>(bytes) / kAssumedRates[index];
   const double seen =
-      std::clamp(ToSeconds(took) / assumed, kLeastCorrection, kMostCorrection);
+      std::clamp(ToSeconds(took) / assumed, kMinCorrection, kMaxCorrection);
   correction_[index] += kSmoothing * (seen - correction_[index]);
 }
 
--- a/placement/memory_ledger.cc
+++ b/placement/memory_ledger.cc
@@ -20,7 +20,7 @@
   return it == holdings_.end() ? nullptr : &it->second;
 }
 
-bool MemoryLedger::HasUnsettled(TimePoint before) const {
+bool MemoryLedger::HasUnsettledOrder(TimePoint before) const {
   return std::any_of(
       holdings_.begin(), holdings_.end(), [before](const auto& entry) {
         const Holding& holding = entry.second;
@@ -57,12 +57,12 @@
 }
 
 std::vector<LedgerChange> MemoryLedger::Reconcile(const Inventory& inventory,
-                                                  TimePoint asked_at,
+                                                  TimePoint requested_at,
                                                   TimePoint now) {
   std::vector<LedgerChange> changes;
   if (inventory.incarnation < incarnation_) return changes;
   if (inventory.incarnation > incarnation_) {
-    DropEarlierLife(inventory.incarnation, changes);
+    RemoveEarlierIncarnation(inventory.incarnation, changes);
   } else if (inventory.sequence <= inventory_.sequence) {
     // Answers may arrive out of order. An older one shows memory as free that
     // a load has taken since.
@@ -70,16 +70,16 @@
   }
   memory_bytes_ = inventory.memory_bytes;
   kv_reserved_bytes_ = inventory.kv_reserved_bytes;
-  DropAbsent(inventory, asked_at, changes);
+  RemoveAbsent(inventory, requested_at, changes);
   for (const Replica& replica : inventory.replicas) {
-    Adopt(replica, inventory, asked_at, now, changes);
+    AdoptReplica(replica, inventory, requested_at, now, changes);
   }
   inventory_ = inventory;
   return changes;
 }
 
-void MemoryLedger::DropEarlierLife(uint64_t incarnation,
-                                   std::vector<LedgerChange>& changes) {
+void MemoryLedger::RemoveEarlierIncarnation(
+    uint64_t incarnation, std::vector<LedgerChange>& changes) {
   incarnation_ = incarnation;
   for (auto it = holdings_.begin(); it != holdings_.end();) {
     const bool is_ordered = it->second.state == HoldingState::kOrdered;
@@ -102,7 +102,7 @@
 
 bool MemoryLedger::IsSettledAsAbsent(const Holding& holding,
                                      const Inventory& inventory,
-                                     TimePoint asked_at) const {
+                                     TimePoint requested_at) const {
   // An earlier inventory showed it, and this one is newer.
   if (holding.state == HoldingState::kLoading ||
       holding.state == HoldingState::kReady ||
@@ -116,17 +116,18 @@
   // has seen a higher one will refuse it; on others only its maximum time in
   // flight settles it.
   if (checks_fence_) return inventory.highest_fence > holding.order_fence;
-  return asked_at > holding.ordered_at + order_horizon_;
+  return requested_at > holding.ordered_at + order_horizon_;
 }
 
-void MemoryLedger::DropAbsent(const Inventory& inventory, TimePoint asked_at,
-                              std::vector<LedgerChange>& changes) {
+void MemoryLedger::RemoveAbsent(const Inventory& inventory,
+                                TimePoint requested_at,
+                                std::vector<LedgerChange>& changes) {
   for (auto it = holdings_.begin(); it != holdings_.end();) {
     const auto present = std::find_if(
         inventory.replicas.begin(), inventory.replicas.end(),
         [&](const Replica& replica) { return replica.name == it->first; });
     if (present != inventory.replicas.end() ||
-        !IsSettledAsAbsent(it->second, inventory, asked_at)) {
+        !IsSettledAsAbsent(it->second, inventory, requested_at)) {
       ++it;
       continue;
     }
@@ -147,19 +148,20 @@
 
 bool MemoryLedger::UnloadCannotHappen(const Holding& holding,
                                       const Inventory& inventory,
-                                      TimePoint asked_at) const {
+                                      TimePoint requested_at) const {
   const auto result = inventory.results.find(holding.order_id);
   if (result != inventory.results.end()) {
     return result->second != OrderResult::kAccepted &&
            result->second != OrderResult::kDone;
   }
   if (checks_fence_) return inventory.highest_fence > holding.order_fence;
-  return asked_at > holding.ordered_at + order_horizon_;
+  return requested_at > holding.ordered_at + order_horizon_;
 }
 
-void MemoryLedger::Adopt(const Replica& replica, const Inventory& inventory,
-                         TimePoint asked_at, TimePoint now,
-                         std::vector<LedgerChange>& changes) {
+void MemoryLedger::AdoptReplica(const Replica& replica,
+                                const Inventory& inventory,
+                                TimePoint requested_at, TimePoint now,
+                                std::vector<LedgerChange>& changes) {
   const auto [it, is_new] = holdings_.try_emplace(replica.name);
   Holding& holding = it->second;
   if (is_new) {
@@ -171,7 +173,7 @@
   holding.running = replica.running;
   holding.last_used = std::max(holding.last_used, replica.last_used);
   if (holding.state == HoldingState::kUnloading) {
-    if (!UnloadCannotHappen(holding, inventory, asked_at)) return;
+    if (!UnloadCannotHappen(holding, inventory, requested_at)) return;
     holding.state = HoldingState::kReady;
   }
   const bool is_ready = replica.state == ReplicaState::kReady;
--- a/placement/memory_ledger.h
+++ b/placement/memory_ledger.h
@@ -59,10 +59,10 @@
   // Marks a holding before its unload is ordered. Returns false unless the
   // holding is ready. Not thread-safe.
   bool BeginUnload(const EngineOrder& order, TimePoint now);
-  // Applies an engine's answer to a request sent at `asked_at`. Answers older
-  // than one already applied are ignored. Not thread-safe.
+  // Applies an engine's answer to a request sent at `requested_at`. Answers
+  // older than one already applied are ignored. Not thread-safe.
   std::vector<LedgerChange> Reconcile(const Inventory& inventory,
-                                      TimePoint asked_at, TimePoint now);
+                                      TimePoint requested_at, TimePoint now);
 
   // True once an inventory was applied; nothing can be reserved before.
   bool is_known() const { return incarnation_ != 0; }
@@ -72,24 +72,24 @@
   uint64_t memory_bytes() const { return memory_bytes_; }
   // True if the outcome of an order older than `before` is unknown. Not
   // thread-safe.
-  bool HasUnsettled(TimePoint before) const;
+  bool HasUnsettledOrder(TimePoint before) const;
   const std::map<std::string, Holding>& holdings() const { return holdings_; }
   const Holding* Find(const std::string& name) const;
   const Inventory& inventory() const { return inventory_; }
 
  private:
   // Removes the holdings of the engine's earlier incarnation.
-  void DropEarlierLife(uint64_t incarnation,
-                       std::vector<LedgerChange>& changes);
+  void RemoveEarlierIncarnation(uint64_t incarnation,
+                                std::vector<LedgerChange>& changes);
   bool IsSettledAsAbsent(const Holding& holding, const Inventory& inventory,
-                         TimePoint asked_at) const;
+                         TimePoint requested_at) const;
   bool UnloadCannotHappen(const Holding& holding, const Inventory& inventory,
-                          TimePoint asked_at) const;
-  void Adopt(const Replica& replica, const Inventory& inventory,
-             TimePoint asked_at, TimePoint now,
-             std::vector<LedgerChange>& changes);
-  void DropAbsent(const Inventory& inventory, TimePoint asked_at,
-                  std::vector<LedgerChange>& changes);
+                          TimePoint requested_at) const;
+  void AdoptReplica(const Replica& replica, const Inventory& inventory,
+                    TimePoint requested_at, TimePoint now,
+                    std::vector<LedgerChange>& changes);
+  void RemoveAbsent(const Inventory& inventory, TimePoint requested_at,
+                    std::vector<LedgerChange>& changes);
 
   bool checks_fence_ = true;
   Duration order_horizon_{0};
--- a/placement/store_budget.cc
+++ b/placement/store_budget.cc
@@ -6,15 +6,15 @@
 namespace applehall {
 namespace {
 
-constexpr double kMostSaved = 2.0;
-constexpr Duration kSlotLoan = std::chrono::seconds(20);
+constexpr double kMaxLoadTokens = 2.0;
+constexpr Duration kSlotLoanTime = std::chrono::seconds(20);
 // An owner lends only if it has started no load for this long.
 constexpr Duration kIdleBeforeLending = std::chrono::seconds(3);
 
 }  // namespace
 
 StoreBudget::StoreBudget(double rate, double slots, TimePoint now)
-    : rate_(rate), slot_share_(slots), saved_(1.0), refilled_at_(now) {}
+    : rate_(rate), slot_share_(slots), loads_(1.0), refilled_at_(now) {}
 
 void StoreBudget::SetShare(double rate, double slots) {
   rate_ = rate;
@@ -23,16 +23,18 @@
 
 double StoreBudget::loads_saved(TimePoint now) const {
   const double elapsed = std::max(0.0, ToSeconds(now - refilled_at_));
-  return std::min(kMostSaved, saved_ + rate_ * elapsed);
+  return std::min(kMaxLoadTokens, loads_ + rate_ * elapsed);
 }
 
 void StoreBudget::Refill(TimePoint now) {
-  saved_ = loads_saved(now);
+  loads_ = loads_saved(now);
   refilled_at_ = std::max(refilled_at_, now);
-  const auto is_over = [now](const auto& loan) { return loan.second <= now; };
-  std::erase_if(lent_slots_, is_over);
-  std::erase_if(borrowed_slots_, is_over);
-  std::erase_if(accepted_, is_over);
+  const auto is_expired = [now](const auto& loan) {
+    return loan.second <= now;
+  };
+  std::erase_if(lent_slots_, is_expired);
+  std::erase_if(borrowed_slots_, is_expired);
+  std::erase_if(accepted_, is_expired);
 }
 
 double StoreBudget::slots(TimePoint now) const {
@@ -44,8 +46,8 @@
 
 bool StoreBudget::TryBegin(TimePoint now) {
   Refill(now);
-  if (saved_ < 1.0 || in_use_ + 1 > std::floor(slots(now) + 1e-9)) return false;
-  saved_ -= 1.0;
+  if (loads_ < 1.0 || in_use_ + 1 > std::floor(slots(now) + 1e-9)) return false;
+  loads_ -= 1.0;
   ++in_use_;
   last_use_ = now;
   return true;
@@ -59,10 +61,10 @@
   if (in_use_ > 0 || now - last_use_ < kIdleBeforeLending) return std::nullopt;
   StoreGrant grant;
   grant.id = id;
-  grant.expires = now + kSlotLoan;
-  if (saved_ >= 1.0) {
+  grant.expires = now + kSlotLoanTime;
+  if (loads_ >= 1.0) {
     grant.loads = 1.0;
-    saved_ -= 1.0;
+    loads_ -= 1.0;
   }
   if (slots(now) >= 1.0) {
     grant.slots = 1;
@@ -77,11 +79,11 @@
   // A duplicated grant message must not count twice.
   if (grant.expires <= now) return;
   if (!accepted_.emplace(grant.id, grant.expires).second) return;
-  saved_ = std::min(kMostSaved, saved_ + grant.loads);
+  loads_ = std::min(kMaxLoadTokens, loads_ + grant.loads);
   if (grant.slots > 0) borrowed_slots_[grant.id] = grant.expires;
 }
 
-Duration StoreBudget::WaitFor(TimePoint now) const {
+Duration StoreBudget::TimeUntilLoad(TimePoint now) const {
   const double missing = 1.0 - loads_saved(now);
   if (missing <= 0 || rate_ <= 0) return Duration{0};
   return FromSeconds(missing / rate_);
--- a/placement/store_budget.h
+++ b/placement/store_budget.h
@@ -45,7 +45,7 @@
   void Accept(const StoreGrant& grant, TimePoint now);
 
   // Time until the rate allows a load, without borrowing.
-  Duration WaitFor(TimePoint now) const;
+  Duration TimeUntilLoad(TimePoint now) const;
   double loads_saved(TimePoint now) const;
   int slots_in_use() const { return in_use_; }
   double slots(TimePoint now) const;
@@ -55,7 +55,7 @@
 
   double rate_ = 0;
   double slot_share_ = 0;
-  double saved_ = 0;
+  double loads_ = 0;
   int in_use_ = 0;
   TimePoint refilled_at_;
   TimePoint last_use_;
--- a/placement/usage_table.cc
+++ b/placement/usage_table.cc
@@ -8,12 +8,12 @@
 
 // Reports expire after this time: the host has stopped or is unreachable. Hosts
 // report twice per second.
-constexpr Duration kReportLife = std::chrono::seconds(2);
+constexpr Duration kReportTtl = std::chrono::seconds(2);
 // Short enough to follow demand that moves to other models within seconds, long
 // enough to cover a model that is requested every few seconds.
 constexpr Duration kRateWindow = std::chrono::seconds(4);
 // Targets with a lower rate are removed.
-constexpr double kLeastRate = 0.001;
+constexpr double kMinRate = 0.001;
 
 bool IsRow(const Json& row, size_t size) {
   if (!row.is_array() || row.size() != size || !row[0].is_string()) {
@@ -77,9 +77,9 @@
   for (const HostReport::Running& row : report.running) {
     running_on_[{row.engine, row.target}] += sign * row.count;
     running_[row.target] += sign * row.count;
-    running_at_[row.engine] += sign * row.count;
+    engine_totals_[row.engine] += sign * row.count;
     if (sign > 0) continue;
-    if (running_at_[row.engine] <= 0) running_at_.erase(row.engine);
+    if (engine_totals_[row.engine] <= 0) engine_totals_.erase(row.engine);
     if (running_on_[{row.engine, row.target}] <= 0) {
       running_on_.erase({row.engine, row.target});
     }
@@ -87,32 +87,32 @@
   }
 }
 
-void UsageTable::Take(const HostReport& report, TimePoint now) {
+void UsageTable::ApplyReport(const HostReport& report, TimePoint now) {
   HostLevel& level = hosts_[report.host];
   Add(level.report, -1);
   level = {report, now};
   Add(level.report, 1);
   for (const HostReport::Arrivals& row : report.arrivals) {
     Flow& flow = flows_[row.target];
-    const double decay = Decay(flow.at, now);
+    const double decay = Decay(flow.updated_at, now);
     flow.rate = flow.rate * decay + row.count / ToSeconds(kRateWindow);
     flow.worth_rate =
         flow.worth_rate * decay + row.worth / ToSeconds(kRateWindow);
-    flow.at = now;
+    flow.updated_at = now;
   }
 }
 
 void UsageTable::Expire(TimePoint now) {
   for (auto it = hosts_.begin(); it != hosts_.end();) {
     const auto next = std::next(it);
-    if (now - it->second.heard_at > kReportLife) {
+    if (now - it->second.received_at > kReportTtl) {
       Add(it->second.report, -1);
       hosts_.erase(it);
     }
     it = next;
   }
   std::erase_if(flows_, [now](const auto& entry) {
-    return entry.second.rate * Decay(entry.second.at, now) < kLeastRate;
+    return entry.second.rate * Decay(entry.second.updated_at, now) < kMinRate;
   });
 }
 
@@ -127,35 +127,38 @@
   return demands;
 }
 
-bool UsageTable::IsWaitedFor(const std::string& target) const {
+bool UsageTable::HasWaiting(const std::string& target) const {
   return waiting_.contains(target);
 }
 
 int UsageTable::RunningOn(const std::string& engine,
                           const std::string& target) const {
-  const auto it = running_on_.find(Names{engine, target});
+  const auto it = running_on_.find(EngineTarget{engine, target});
   return it == running_on_.end() ? 0 : it->second;
 }
 
-int UsageTable::Running(const std::string& target) const {
+int UsageTable::RunningForTarget(const std::string& target) const {
   const auto it = running_.find(target);
   return it == running_.end() ? 0 : it->second;
 }
 
-int UsageTable::RunningAt(const std::string& engine) const {
-  const auto it = running_at_.find(engine);
-  return it == running_at_.end() ? 0 : it->second;
+int UsageTable::RunningOnEngine(const std::string& engine) const {
+  const auto it = engine_totals_.find(engine);
+  return it == engine_totals_.end() ? 0 : it->second;
 }
 
 double UsageTable::Rate(const std::string& target, TimePoint now) const {
   const auto it = flows_.find(target);
-  return it == flows_.end() ? 0 : it->second.rate * Decay(it->second.at, now);
+  return it == flows_.end()
+             ? 0
+             : it->second.rate * Decay(it->second.updated_at, now);
 }
 
 double UsageTable::WorthRate(const std::string& target, TimePoint now) const {
   const auto it = flows_.find(target);
-  return it == flows_.end() ? 0
-                            : it->second.worth_rate * Decay(it->second.at, now);
+  return it == flows_.end()
+             ? 0
+             : it->second.worth_rate * Decay(it->second.updated_at, now);
 }
 
 std::vector<std::string> UsageTable::Targets() const {
--- a/placement/usage_table.h
+++ b/placement/usage_table.h
@@ -53,17 +53,17 @@
   };
 
   // Applies one host's report. Not thread-safe.
-  void Take(const HostReport& report, TimePoint now);
+  void ApplyReport(const HostReport& report, TimePoint now);
   // Removes hosts whose last report is too old. Not thread-safe.
   void Expire(TimePoint now);
   // Targets with waiting requests, highest worth first. Not thread-safe.
   std::vector<Demand> Waiting() const;
-  bool IsWaitedFor(const std::string& target) const;
+  bool HasWaiting(const std::string& target) const;
   // Requests for `target` in progress on `engine`. Not thread-safe.
   int RunningOn(const std::string& engine, const std::string& target) const;
-  int Running(const std::string& target) const;
+  int RunningForTarget(const std::string& target) const;
   // Requests for all targets in progress on `engine`.
-  int RunningAt(const std::string& engine) const;
+  int RunningOnEngine(const std::string& engine) const;
   // Requests per second, and their worth per second, over the last seconds.
   double Rate(const std::string& target, TimePoint now) const;
   double WorthRate(const std::string& target, TimePoint now) const;
@@ -73,7 +73,7 @@
  private:
   struct HostLevel {
     HostReport report;
-    TimePoint heard_at;
+    TimePoint received_at;
   };
   struct Level {
     int count = 0;
@@ -82,9 +82,9 @@
   struct Flow {
     double rate = 0;
     double worth_rate = 0;
-    TimePoint at;
+    TimePoint updated_at;
   };
-  using Names = std::pair<std::string, std::string>;
+  using EngineTarget = std::pair<std::string, std::string>;
 
   static double Decay(TimePoint from, TimePoint now);
   // Adds (sign 1) or subtracts (sign -1) one host's report to the totals, so
@@ -93,9 +93,9 @@
 
   absl::flat_hash_map<std::string, HostLevel> hosts_;
   std::map<std::string, Level> waiting_;
-  absl::flat_hash_map<Names, int> running_on_;
+  absl::flat_hash_map<EngineTarget, int> running_on_;
   absl::flat_hash_map<std::string, int> running_;
-  absl::flat_hash_map<std::string, int> running_at_;  // Key: engine.
+  absl::flat_hash_map<std::string, int> engine_totals_;  // Key: engine.
   std::map<std::string, Flow> flows_;
 };
 
