--- a/tests/placement/engine_owner_test.cc
+++ b/tests/placement/engine_owner_test.cc
@@ -1,4 +1,4 @@
-// One owner of a few engines under a paused clock, without a network.
+// Tests one EngineOwner with a few engines, a manual clock and no network.
 
 #include "placement/engine_owner.h"
 
@@ -13,7 +13,7 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kStart{std::chrono::hours(500000)};
-constexpr int kMostReplicas = 1;
+constexpr int kMaxReplicas = 1;
 
 class EngineOwnerTest : public testing::Test {
  protected:
@@ -35,7 +35,7 @@
     inventory.slots = 8;
   }
 
-  // The engine answers now to a question that was asked `age` ago.
+  // Delivers the engine's answer to a request that was sent `age` ago.
   void Report(const std::string& name, Duration age = Duration{0}) {
     ++inventories_[name].sequence;
     owner_.TakeInventory(inventories_[name], now_ - age, now_);
@@ -47,12 +47,12 @@
     Report(name);
   }
 
-  // The loads that are ordered for one request that waits for `model`.
+  // Returns the load orders for one request that waits for `model`.
   std::vector<OrderToSend> LoadsFor(const std::string& model) {
     owner_.TakeDemand({model, "entry-1", 1, 1.0, seconds(20), false}, now_);
     std::vector<OrderToSend> orders;
     owner_.Decide(
-        policy_, store_, [](const std::string&, int) { return kMostReplicas; },
+        policy_, store_, [](const std::string&, int) { return kMaxReplicas; },
         now_, orders);
     std::erase_if(orders, [](const OrderToSend& order) {
       return order.order.kind != OrderKind::kLoad;
@@ -65,7 +65,7 @@
     return owner_
         .Answer(
             model, policy_, store_,
-            [](const std::string&, int) { return kMostReplicas; }, now_)
+            [](const std::string&, int) { return kMaxReplicas; }, now_)
         .status;
   }
 
@@ -79,9 +79,9 @@
   std::map<std::string, Inventory> inventories_;
 };
 
-// Guards against a slot of the weight store that is never given back: with all
-// of them lost nothing cold is loaded any more.
-TEST_F(EngineOwnerTest, LoadThatEndsWithItsEngineGivesItsStoreSlotBack) {
+// Guards against leaking a slot of the weight store when an engine restarts
+// during a load. Without slots no cold model could be loaded.
+TEST_F(EngineOwnerTest, EngineRestartReleasesStoreSlotOfItsLoad) {
   AddEngine("e1", /*checks_fence=*/true);
   Report("e1");
   ASSERT_EQ(LoadsFor("model-0").size(), 1u);
@@ -91,9 +91,9 @@
   EXPECT_EQ(LoadsFor("model-1").size(), 1u);
 }
 
-// Guards against one replica too many: the owner before is frozen, and orders
-// the model at an engine that obeys it as soon as it wakes.
-TEST_F(EngineOwnerTest, BoundLeavesRoomForWhatAnEarlierOwnerMayStillLoad) {
+// Guards against exceeding the replica bound: a paused earlier owner may resume
+// and order the model on an engine that does not check fences.
+TEST_F(EngineOwnerTest, ReplicaBoundCountsPossibleLoadsOfEarlierOwner) {
   AddEngine("fenced", /*checks_fence=*/true);
   AddEngine("unfenced", /*checks_fence=*/false);
   owner_.SetUnfencedBlocked(true, now_);
@@ -101,18 +101,19 @@
   Report("unfenced");
   EXPECT_TRUE(LoadsFor("model-0").empty());
   EXPECT_EQ(StatusOf("model-0"), DemandStatus::kNoPlace)
-      << "its callers are told at once";
+      << "callers must be refused at once";
   owner_.SetUnfencedBlocked(false, now_);
   EXPECT_TRUE(LoadsFor("model-0").empty())
-      << "what it ordered last may not be in the inventory";
+      << "the inventory may lack the earlier owner's last order";
   Report("unfenced", seconds(1));
-  EXPECT_TRUE(LoadsFor("model-0").empty()) << "an answer from before";
+  EXPECT_TRUE(LoadsFor("model-0").empty()) << "requested before the release";
   Report("unfenced");
   EXPECT_EQ(LoadsFor("model-0").size(), 1u);
 }
 
-// Guards against engines that are kept idle by an owner that is gone.
-TEST_F(EngineOwnerTest, FencedEnginesServeWhatTheBoundLeavesRoomFor) {
+// Guards against idle engines while an earlier owner may still be running: it
+// cannot order engines that check fences.
+TEST_F(EngineOwnerTest, FencedEngineIsOrderedWhileEarlierOwnerMayRun) {
   AddEngine("fenced", /*checks_fence=*/true);
   owner_.SetUnfencedBlocked(true, now_);
   Report("fenced");
--- a/tests/placement/fleet_planner_test.cc
+++ b/tests/placement/fleet_planner_test.cc
@@ -22,11 +22,11 @@
 
 std::string ModelName(int i) { return "writer/m" + std::to_string(i); }
 
-// A planner, engines that do what it orders, and a network that loses, delays
-// or swallows the answers of some orders.
+// A planner, engines that execute its orders, and a network that loses or
+// delays some orders and loses some answers.
 class FleetPlannerTest : public testing::Test {
  protected:
-  void Use(int engines, int models, int adapters = 0) {
+  void CreateEngines(int engines, int models, int adapters = 0) {
     for (int i = 0; i < models; ++i) {
       CatalogueEntry entry;
       entry.name = ModelName(i);
@@ -53,10 +53,10 @@
     planner_ = std::make_unique<FleetPlanner>(Incarnation{"entry", 1}, token_,
                                               policies_);
     planner_->SetCatalogue(&catalogue_, &classes_);
-    List();
+    UpdateListing();
   }
 
-  void List() {
+  void UpdateListing() {
     EngineList list;
     for (const auto& [id, engine] : engines_) list[id] = engine->Listing();
     planner_->SetServers(list, now_);
@@ -75,19 +75,19 @@
     planner_->TakeReport(report, now_);
   }
 
-  // One step of 20 ms: ends, decisions, orders and their answers.
+  // Simulates 20 ms: ends of orders, decisions, new orders and their answers.
   void Step() {
     now_ += milliseconds(20);
     for (auto& [id, engine] : engines_) engine->Advance(now_);
     DeliverLate();
     std::vector<OrderToSend> orders;
     planner_->Decide(/*may_order=*/true, now_, orders);
-    for (const OrderToSend& order : orders) Carry(order);
-    if (++steps_ % 20 == 0) List();
+    for (const OrderToSend& order : orders) Deliver(order);
+    if (++steps_ % 20 == 0) UpdateListing();
   }
 
-  // One step, with a request for one of 14 models or their 12 adapters each
-  // that comes with the probability `chance`.
+  // Simulates one step. With probability `chance` a request arrives for one of
+  // 14 models or one of their 12 adapters each.
   void StepUnderRandomDemand(double chance) {
     if (random_.Unit() < chance) {
       std::string target = ModelName(static_cast<int>(random_.Below(14)));
@@ -103,30 +103,32 @@
     for (const TimePoint end = now_ + duration; now_ < end;) Step();
   }
 
-  void Carry(const OrderToSend& sent) {
+  void Deliver(const OrderToSend& sent) {
     FakeCountedEngine& engine = *engines_.at(sent.engine);
-    if (silent_.contains(sent.engine)) return;
+    if (unresponsive_.contains(sent.engine)) return;
     if (sent.order.kind == OrderKind::kInspect) {
-      ++questions_;
-      if (report_lag_ > Duration{0}) return;  // Not within this test.
+      ++report_requests_;
+      if (report_lag_ > Duration{0}) return;  // Later than the test.
       planner_->TakeInventory(engine.Report(), now_, now_);
       return;
     }
     sent_.push_back(sent);
-    const double luck = random_.Unit();
-    if (luck < lost_) {
+    const double sample = random_.Unit();
+    if (sample < order_loss_rate_) {
       Answer(sent, OrderResult::kUnanswered);
       return;
     }
-    if (luck < lost_ + late_) {
+    if (sample < order_loss_rate_ + order_delay_rate_) {
       late_orders_.push_back(
           {now_ + milliseconds(2000 + random_.Below(10000)), sent});
       Answer(sent, OrderResult::kUnanswered);
       return;
     }
     const OrderResult result = engine.Take(sent.order, now_);
-    Answer(sent, luck < lost_ + late_ + answer_lost_ ? OrderResult::kUnanswered
-                                                     : result);
+    Answer(sent,
+           sample < order_loss_rate_ + order_delay_rate_ + answer_loss_rate_
+               ? OrderResult::kUnanswered
+               : result);
   }
 
   void Answer(const OrderToSend& sent, OrderResult result) {
@@ -173,26 +175,26 @@
   };
 
   PolicySet policies_;
-  std::set<std::string> silent_;  // Engines that answer nothing.
+  std::set<std::string> unresponsive_;  // Engines that do not answer.
   FencingToken token_ = 7;
   TimePoint now_ = kStart;
   std::map<std::string, CatalogueEntry> catalogue_;
   std::map<std::string, EngineClass> classes_;
   std::map<std::string, std::unique_ptr<FakeCountedEngine>> engines_;
   std::unique_ptr<FleetPlanner> planner_;
-  int questions_ = 0;  // For reports, to all engines.
+  int report_requests_ = 0;  // Report requests to all engines.
   std::vector<OrderToSend> sent_;
   std::vector<LateOrder> late_orders_;
   Random random_{1};
   Duration report_lag_{0};
-  double lost_ = 0;
-  double late_ = 0;
-  double answer_lost_ = 0;
+  double order_loss_rate_ = 0;
+  double order_delay_rate_ = 0;
+  double answer_loss_rate_ = 0;
   int steps_ = 0;
 };
 
-TEST_F(FleetPlannerTest, NothingIsOrderedBeforeTheFirstReport) {
-  Use(2, 3);
+TEST_F(FleetPlannerTest, NoModelOrderBeforeFirstReport) {
+  CreateEngines(2, 3);
   Report(ModelName(0), 1);
   std::vector<OrderToSend> orders;
   planner_->Decide(true, now_, orders);
@@ -202,17 +204,17 @@
   }
 }
 
-TEST_F(FleetPlannerTest, WaitedForModelIsLoadedOnceFromWhereItIsNearest) {
-  Use(3, 4);
+TEST_F(FleetPlannerTest, DemandedModelIsLoadedFromNearestCopy) {
+  CreateEngines(3, 4);
   engines_.at("e2")->Hold(ModelName(0), kModelBytes);
-  List();
+  UpdateListing();
   Run(milliseconds(100));
-  // It leaves memory, but stays on the disk of e2.
+  // Unloads it; a copy remains on the disk of e2.
   EngineOrder unload;
   unload.kind = OrderKind::kUnload;
   unload.name = ModelName(0);
   engines_.at("e2")->Take(unload, now_);
-  Run(seconds(12));  // The idle report finds out.
+  Run(seconds(12));  // Until the next idle report.
   if (!IsReady(ModelName(0))) {
     Report(ModelName(0), 1);
     Run(milliseconds(2200));
@@ -221,11 +223,10 @@
   EXPECT_TRUE(engines_.at("e2")->Holds(ModelName(0)));
 }
 
-// A caller's rare model waits for a place although one unload is done: the
-// report that shows it lags, and the planner waited half a second to be sure.
-// The report's count of orders proves that it was written after the unload.
-TEST_F(FleetPlannerTest, EndOfAnOrderIsSeenInTheFirstReportThatCountsIt) {
-  Use(1, 4);
+// Guards against waiting out the report lag after an unload: a report whose
+// count includes the unload proves that it was written after it.
+TEST_F(FleetPlannerTest, FirstReportThatCountsAnOrderConfirmsItsEnd) {
+  CreateEngines(1, 4);
   for (int i = 0; i < 3; ++i)
     engines_.at("e0")->Hold(ModelName(i), kModelBytes);
   Run(seconds(3));
@@ -238,14 +239,13 @@
   EXPECT_LE(now_ - asked, milliseconds(300));
 }
 
-// Demand moves: a model that was asked for often comes and goes every few
-// seconds, pushed out by single requests for rare ones, and its callers wait.
-// Nothing is unloaded that earns more a second than what it makes room for.
-TEST_F(FleetPlannerTest, BusyModelsStayForSingleRareRequests) {
-  Use(1, 6);
+// Guards against evicting busy models for single requests for rare ones, which
+// would unload and reload them every few seconds.
+TEST_F(FleetPlannerTest, SingleRareRequestDoesNotEvictBusyModels) {
+  CreateEngines(1, 6);
   for (int i = 0; i < 3; ++i)
     engines_.at("e0")->Hold(ModelName(i), kModelBytes);
-  List();
+  UpdateListing();
   for (int second = 0; second < 13; ++second) {
     for (int i = 0; i < 3; ++i) Report(ModelName(i), 0, 7);
     if (second >= 3) Report(ModelName(5), 1);
@@ -256,10 +256,9 @@
   }
 }
 
-// The other side of the same: once nobody asks for them any more, models that
-// were busy give way.
-TEST_F(FleetPlannerTest, ModelsThatWereBusyGiveWayWhenDemandHasMoved) {
-  Use(1, 6);
+// The reverse case: models that were busy are evicted once their demand ends.
+TEST_F(FleetPlannerTest, BusyModelsAreEvictedAfterTheirDemandEnds) {
+  CreateEngines(1, 6);
   for (int i = 0; i < 3; ++i)
     engines_.at("e0")->Hold(ModelName(i), kModelBytes);
   Run(seconds(3));
@@ -272,13 +271,13 @@
   EXPECT_TRUE(IsReady(ModelName(5)));
 }
 
-// An engine refuses adapters while it loads a model. Orders to it were refused
-// three times in a row while another engine held the same base model.
-TEST_F(FleetPlannerTest, AdaptersGoToAnEngineThatIsNotBusy) {
-  Use(2, 8, /*adapters=*/4);
+// Guards against ordering adapters on an engine that refuses them during a
+// model load while another engine holds the same base model.
+TEST_F(FleetPlannerTest, AdaptersAreOrderedOnIdleEngine) {
+  CreateEngines(2, 8, /*adapters=*/4);
   engines_.at("e0")->Hold(ModelName(0), kModelBytes);
   engines_.at("e1")->Hold(ModelName(0), kModelBytes);
-  List();
+  UpdateListing();
   Run(milliseconds(40));
   for (int a = 1; a <= 4; ++a) {
     Report(ModelName(0) + "/a" + std::to_string(a), 1);
@@ -294,11 +293,11 @@
   }
 }
 
-// A model that no engine has at hand waits for the store; those behind it in
-// the store's queue would wait past their deadline, and are told when their
-// turn is, so that their hosts can refuse them at once.
-TEST_F(FleetPlannerTest, ModelsBehindAFullStoreAreToldTheirTurn) {
-  Use(9, 60);
+// Models of which no engine has a copy queue for the weight store. The expected
+// time must include the queue, so that hosts can refuse requests that would
+// miss their deadline.
+TEST_F(FleetPlannerTest, ExpectedTimeIncludesStoreQueue) {
+  CreateEngines(9, 60);
   Run(seconds(1));
   HostReport report;
   report.host = "entry";
@@ -312,14 +311,14 @@
     const DemandAnswer answer = planner_->Answer(ModelName(i), now_);
     longest = std::max(longest, answer.expected);
   }
-  // Sixteen or more, four at once, six seconds each.
+  // At least 16 loads of 6 s each, four at a time.
   EXPECT_GE(longest, seconds(24));
 }
 
-// Another host took the lease; an engine has seen its token and refuses. This
-// planner must not go on ordering with what it believes.
-TEST_F(FleetPlannerTest, RefusedTokenEndsAllOrders) {
-  Use(1, 4);
+// Guards against orders by a superseded planner: another host has taken the
+// lease, and an engine refuses this planner's token.
+TEST_F(FleetPlannerTest, RefusedTokenStopsAllOrders) {
+  CreateEngines(1, 4);
   Run(milliseconds(40));
   EngineOrder newer;
   newer.kind = OrderKind::kLoad;
@@ -336,16 +335,15 @@
   EXPECT_EQ(sent_.size(), sent);
 }
 
-// Two hosts took turns as owner: the first one's last load is under way when
-// the second asks the engine about something else. The report counts that load,
-// but does not list its model yet. Taken for all there is, the place was
-// ordered a second time at the moment the load ended, and the engine crashed.
-TEST_F(FleetPlannerTest, EngineThatIsBusyForAnEarlierOwnerIsNotFilled) {
-  Use(1, 6);
+// Guards against overcommitting memory after a change of owner: a report counts
+// the earlier owner's load in progress but does not list its model yet, so its
+// memory looks free.
+TEST_F(FleetPlannerTest, EngineBusyForEarlierOwnerIsNotOvercommitted) {
+  CreateEngines(1, 6);
   FakeCountedEngine& engine = *engines_.at("e0");
   engine.Hold(ModelName(0), kModelBytes);
   engine.Hold(ModelName(1), kModelBytes);
-  planner_->SetCatalogue(nullptr, &classes_);  // Nothing to bring ahead.
+  planner_->SetCatalogue(nullptr, &classes_);  // Nothing to load ahead.
   Run(seconds(1));
   EngineOrder earlier;
   earlier.kind = OrderKind::kLoad;
@@ -354,7 +352,7 @@
   earlier.fence = {token_ - 1, 1};
   ASSERT_EQ(engine.Take(earlier, now_), OrderResult::kAccepted);
   planner_->SetCatalogue(&catalogue_, &classes_);
-  Report(ModelName(0), 1);  // A host missed the plan: the engine is asked.
+  Report(ModelName(0), 1);  // A host missed the plan: requests a report.
   std::vector<OrderToSend> orders;
   planner_->TakeInventory(engine.Report(), now_, now_);
   now_ += seconds(6);
@@ -367,11 +365,11 @@
   EXPECT_FALSE(engine.was_overcommitted());
 }
 
-// The owner before has just loaded two adapters when another host takes over.
-// Reports lag by some hundred ms, so the new owner's first one shows neither.
-// It filled the two places again, and the engine crashed with all it ran.
-TEST_F(FleetPlannerTest, AdaptersOfAnEarlierOwnerAreNotLoadedOnTopOf) {
-  Use(1, 1, /*adapters=*/12);
+// Guards against overcommitting adapter slots after a change of owner: the
+// first report lags and lacks two adapters that the earlier owner has just
+// loaded.
+TEST_F(FleetPlannerTest, AdaptersOfEarlierOwnerAreNotOvercommitted) {
+  CreateEngines(1, 1, /*adapters=*/12);
   FakeCountedEngine& engine = *engines_.at("e0");
   engine.Hold(ModelName(0), kModelBytes);
   const auto adapter = [](int i) {
@@ -398,14 +396,13 @@
   }
   Run(seconds(2));
   EXPECT_FALSE(engine.was_overcommitted());
-  EXPECT_TRUE(IsReady(adapter(12))) << "it goes on with what is true";
+  EXPECT_TRUE(IsReady(adapter(12))) << "must resume with the true state";
 }
 
-// Engines with all places for adapters taken: each further one needs the place
-// of another. While an engine waited for a report after each unload, adapters
-// took half a second in place of some ms.
-TEST_F(FleetPlannerTest, AdapterTakesAnothersPlaceAtOnce) {
-  Use(1, 1, /*adapters=*/12);
+// Guards against waiting for a report after each adapter unload. With all slots
+// taken, an adapter would then take half a second instead of some ms.
+TEST_F(FleetPlannerTest, AdapterReplacesAnotherWithoutReport) {
+  CreateEngines(1, 1, /*adapters=*/12);
   engines_.at("e0")->Hold(ModelName(0), kModelBytes);
   Run(milliseconds(100));
   for (int i = 1; i <= 8; ++i) {
@@ -420,32 +417,31 @@
   EXPECT_FALSE(engines_.at("e0")->was_overcommitted());
 }
 
-// How many loads a weight store brings at full speed is told nowhere. Taken for
-// four where it is one, each of four loads takes four times as long and keeps
-// its engine from all others meanwhile.
-TEST_F(FleetPlannerTest, WidthOfTheStoreIsLearntFromLoadTimes) {
-  Use(6, 8);
+// The number of loads that the weight store serves at full speed is not
+// configured. Too high an estimate slows all loads and blocks their engines.
+TEST_F(FleetPlannerTest, StoreWidthGrowsWhileLoadsAreFast) {
+  CreateEngines(6, 8);
   Run(seconds(1));
   EXPECT_EQ(planner_->ToJson(now_)["store_loads"], 2);
-  Run(seconds(6));  // As fast as told.
+  Run(seconds(6));  // Loads take the configured time.
   EXPECT_EQ(planner_->ToJson(now_)["store_width"], 4.0);
 }
 
-TEST_F(FleetPlannerTest, StoreThatSlowsIsAskedForLess) {
-  Use(6, 8);
+TEST_F(FleetPlannerTest, StoreWidthShrinksWhenLoadsAreSlow) {
+  CreateEngines(6, 8);
   for (auto& [id, engine] : engines_) engine->load_from_store = seconds(12);
-  Run(seconds(13));  // Both took twice as long as told.
+  Run(seconds(13));  // Both loads take twice the configured time.
   EXPECT_EQ(planner_->ToJson(now_)["store_width"], 1.0);
   EXPECT_LE(planner_->ToJson(now_)["store_loads"], 1);
   Run(seconds(30));
-  EXPECT_EQ(planner_->ToJson(now_)["store_width"], 1.0) << "and stays so";
+  EXPECT_EQ(planner_->ToJson(now_)["store_width"], 1.0)
+      << "must not grow again";
 }
 
-// The weight store is slow: a load takes far longer than told. Callers were
-// told for all that time that their model is due at once, and waited until they
-// left, instead of being told when to come back.
-TEST_F(FleetPlannerTest, LateLoadIsNotPromisedForNow) {
-  Use(1, 1);
+// Guards against reporting a late load as due at once for as long as it is
+// late: callers would wait instead of getting a time after which to retry.
+TEST_F(FleetPlannerTest, LateLoadIsNotExpectedAtOnce) {
+  CreateEngines(1, 1);
   engines_.at("e0")->load_from_store = seconds(60);
   Report(ModelName(0), 1);
   Run(seconds(4));
@@ -456,10 +452,10 @@
   EXPECT_GE(answer.expected, seconds(5));
 }
 
-// The driver's answer to an order gets lost in the process. The engine would
-// take no order again, and a drain would wait for it until it is killed.
-TEST_F(FleetPlannerTest, OrderWhoseAnswerNeverComesIsGivenUp) {
-  Use(1, 4);
+// Guards against an order that stays open forever because its answer was lost
+// in the process. It would block its engine and a drain of the host.
+TEST_F(FleetPlannerTest, OrderWithoutAnswerExpires) {
+  CreateEngines(1, 4);
   Run(milliseconds(40));
   std::vector<OrderToSend> orders;
   Report(ModelName(0), 1);
@@ -471,18 +467,17 @@
   EXPECT_TRUE(planner_->IsQuiet());
 }
 
-// A model becomes popular while all engines are full. Making room takes a third
-// of a second, and as nothing counted as being loaded until then, each decision
-// of that time, one in 25 ms, emptied a place on one more engine: up to nine
-// models that others would ask for went for one replica.
-TEST_F(FleetPlannerTest, RoomForAReplicaIsMadeOnOneEngine) {
-  Use(8, 24);  // Each has its place: none is brought ahead of requests.
+// Guards against evicting on several engines for one replica: an unload takes a
+// third of a second, and until it ends the model is not loading anywhere while
+// decisions are made every 25 ms.
+TEST_F(FleetPlannerTest, OneReplicaEvictsOnOneEngineOnly) {
+  CreateEngines(8, 24);  // All models fit, so none is loaded ahead of requests.
   int model = 0;
   for (auto& [id, engine] : engines_) {
     for (int i = 0; i < 3; ++i) engine->Hold(ModelName(model++), kModelBytes);
     engine->unload_time = milliseconds(340);
   }
-  List();
+  UpdateListing();
   Run(seconds(3));
   for (int i = 0; i < 15; ++i) {
     Report(ModelName(0), 0, /*arrivals=*/4);
@@ -495,59 +490,57 @@
   EXPECT_EQ(unloads, 1);
 }
 
-// An engine crashes and is back at once, empty, with copies of its models on
-// disk. Each first caller waited for a load, and whoever asked for the second
-// and third of its models for those before it too.
-TEST_F(FleetPlannerTest, EngineThatComesBackEmptyIsFilledAheadOfRequests) {
-  Use(2, 6);
-  engines_.at("e1")->Restart(now_);  // Tells when it started.
+// Guards against leaving an engine empty after a restart although its disk has
+// copies: the first request for each model would wait for a load.
+TEST_F(FleetPlannerTest, RestartedEngineLoadsFromDiskAheadOfRequests) {
+  CreateEngines(2, 6);
+  engines_.at("e1")->Restart(now_);  // Sets its start time.
   for (int i = 0; i < 3; ++i) {
     engines_.at("e0")->Hold(ModelName(i), kModelBytes);
     engines_.at("e1")->Hold(ModelName(i + 3), kModelBytes);
   }
-  List();
+  UpdateListing();
   Run(seconds(3));
   engines_.at("e1")->Restart(now_);
-  List();
+  UpdateListing();
   Run(seconds(8));  // Three loads of 1.6 s from disk, and the first report.
   for (int i = 0; i < 6; ++i) EXPECT_TRUE(IsReady(ModelName(i))) << i;
 }
 
-// Many engines load at once, slower than told. The owner asked each of them 16
-// times a second how far it was, came to nothing else, and its hosts heard
-// nothing of it for seconds.
-TEST_F(FleetPlannerTest, ManyLoadsAreAskedAboutLessOften) {
-  Use(96, 96);
+// Guards against overloading the owner when many engines load slowly at once:
+// polling each 16 times per second leaves no time for other work.
+TEST_F(FleetPlannerTest, ManyOpenLoadsArePolledLessOften) {
+  CreateEngines(96, 96);
   for (auto& [id, engine] : engines_) engine->load_from_disk = seconds(10);
   int model = 0;
   for (auto& [id, engine] : engines_) {
     engine->Hold(ModelName(model++), kModelBytes);
     engine->Restart(now_);
   }
-  List();
-  Run(seconds(4));  // All load what is on their disks, ahead of requests.
-  questions_ = 0;
+  UpdateListing();
+  Run(seconds(4));  // All engines load from disk ahead of requests.
+  report_requests_ = 0;
   Run(seconds(3));
-  EXPECT_GE(questions_, 96);
-  EXPECT_LE(questions_, 6 * 96);
+  EXPECT_GE(report_requests_, 96);
+  EXPECT_LE(report_requests_, 6 * 96);
 }
 
-// Demand moves to a model that two engines hold and many have on disk. Its
-// replicas were loaded one after the other, and for 14 s most of its requests
-// were turned away beside engines that could have held it.
-TEST_F(FleetPlannerTest, ReplicasOfARisingModelAreLoadedSideBySide) {
-  Use(12, 3);
+// Guards against loading the missing replicas of a model one after the other:
+// most requests would be rejected for 14 s although engines have copies on
+// disk.
+TEST_F(FleetPlannerTest, MissingReplicasAreLoadedConcurrently) {
+  CreateEngines(12, 3);
   for (auto& [id, engine] : engines_) {
     engine->Hold(ModelName(0), kModelBytes);
     engine->Hold(ModelName(1), kModelBytes);
   }
-  List();
+  UpdateListing();
   Run(seconds(3));
-  // A copy of it stays on each disk.
+  // A copy remains on each disk.
   for (auto& [id, engine] : engines_) {
     if (id != "e0" && id != "e1") engine->Drop(ModelName(0));
   }
-  List();
+  UpdateListing();
   Run(seconds(11));  // Until the next idle report.
   ASSERT_EQ(Replicas(ModelName(0)), 2);
   for (int i = 0; i < 400; ++i) {
@@ -557,14 +550,13 @@
   EXPECT_GE(Replicas(ModelName(0)), 8);
 }
 
-// A rare model is asked for while all engines are full. Room for it is free
-// after 30 ms, but reports tell so 0.3 s later, and its request waited that
-// long too.
-TEST_F(FleetPlannerTest, LoadFollowsAnUnloadBeforeItsReport) {
-  Use(1, 4);
+// Guards against waiting for the report of an unload, which lags by 0.3 s while
+// the unload takes only 30 ms.
+TEST_F(FleetPlannerTest, LoadIsSentBeforeReportOfUnload) {
+  CreateEngines(1, 4);
   for (int i = 0; i < 3; ++i)
     engines_.at("e0")->Hold(ModelName(i), kModelBytes);
-  List();
+  UpdateListing();
   Run(seconds(3));
   report_lag_ = milliseconds(300);
   Report(ModelName(3), 1);
@@ -572,17 +564,16 @@
   EXPECT_EQ(Count(OrderKind::kLoad, ModelName(3)), 1);
 }
 
-// Many rare models are asked for that no engine has at hand. Room for them is
-// made on several engines at once; loaded as soon as it was free, more came
-// from the store than it brings at full speed, and all of them late.
-TEST_F(FleetPlannerTest, LoadsThatFollowUnloadsKeepToTheStoresWidth) {
+// Guards against exceeding the store's width when several engines evict at once
+// for models without a copy and load as soon as the memory is free.
+TEST_F(FleetPlannerTest, LoadsAfterUnloadsStayWithinStoreWidth) {
   policies_ = *PolicySet::Without("seeding");  // The store is free at first.
-  Use(8, 40);
+  CreateEngines(8, 40);
   int model = 0;
   for (auto& [id, engine] : engines_) {
     for (int i = 0; i < 3; ++i) engine->Hold(ModelName(model++), kModelBytes);
   }
-  List();
+  UpdateListing();
   Run(seconds(3));
   HostReport report;
   report.host = "entry";
@@ -598,14 +589,14 @@
   }
 }
 
-// The same with an unload that takes its time: the load is refused, and goes in
-// as soon as there is room. Nothing is loaded on top of what is still there.
-TEST_F(FleetPlannerTest, LoadThatIsRefusedWaitsForItsRoom) {
-  Use(1, 4);
+// A load sent after a slow unload is refused and retried until the memory is
+// free. It must not overcommit the engine.
+TEST_F(FleetPlannerTest, RefusedLoadIsRetriedWithoutOvercommit) {
+  CreateEngines(1, 4);
   for (int i = 0; i < 3; ++i)
     engines_.at("e0")->Hold(ModelName(i), kModelBytes);
   engines_.at("e0")->unload_time = milliseconds(700);
-  List();
+  UpdateListing();
   Run(seconds(3));
   Report(ModelName(3), 1);
   for (int i = 0; i < 30; ++i) {
@@ -617,17 +608,16 @@
   EXPECT_LE(Count(OrderKind::kLoad, ModelName(3)), 4);
 }
 
-// The busiest model is being loaded onto an engine that crashes. Its listing
-// stays for seconds, 13 where the store was away too, and all that time every
-// other load of the model was held back for the one under way.
-TEST_F(FleetPlannerTest, LoadAtASilentEngineHoldsNoOtherBack) {
-  Use(3, 8);
+// Guards against waiting for a load on a crashed engine, which stays listed for
+// seconds, or 13 s while the store is unavailable.
+TEST_F(FleetPlannerTest, LoadOnUnresponsiveEngineDoesNotBlockOthers) {
+  CreateEngines(3, 8);
   Run(milliseconds(100));
   Report(ModelName(7), 3);
   Run(milliseconds(100));
   ASSERT_EQ(Count(OrderKind::kLoad, ModelName(7)), 1);
   for (const OrderToSend& sent : sent_) {
-    if (sent.order.name == ModelName(7)) silent_.insert(sent.engine);
+    if (sent.order.name == ModelName(7)) unresponsive_.insert(sent.engine);
   }
   for (int i = 0; i < 40; ++i) {
     Report(ModelName(7), 3);
@@ -636,68 +626,67 @@
   EXPECT_EQ(Count(OrderKind::kLoad, ModelName(7)), 2);
 }
 
-// The only engine with a model crashes. Its listing stays for seconds; while
-// the model counted as ready there, it was loaded nowhere else.
-TEST_F(FleetPlannerTest, ModelAtASilentEngineIsNotReady) {
-  Use(3, 8);
+// Guards against counting a model as ready on a crashed engine that is still
+// listed: no other engine would load it.
+TEST_F(FleetPlannerTest, ModelOnUnresponsiveEngineIsNotReady) {
+  CreateEngines(3, 8);
   engines_.at("e0")->Hold(ModelName(7), kModelBytes);
-  List();
+  UpdateListing();
   Run(milliseconds(500));
   ASSERT_TRUE(IsReady(ModelName(7)));
-  silent_.insert("e0");
+  unresponsive_.insert("e0");
   for (int i = 0; i < 15; ++i) {
     Report(ModelName(7), 3);
     Run(milliseconds(100));
   }
   EXPECT_EQ(Count(OrderKind::kLoad, ModelName(7)), 1);
-  // It answers again: what it holds serves at once.
-  silent_.clear();
+  // Once the engine answers again, its models are ready at once.
+  unresponsive_.clear();
   Run(seconds(2));
   EXPECT_EQ(planner_->Answer(ModelName(7), now_).status, DemandStatus::kReady);
 }
 
-// An engine crashes and starts again under its id: empty, with its count of
-// orders anew. Held against the count before, each of its reports looked old,
-// and it got no order for the rest of the day.
-TEST_F(FleetPlannerTest, EngineThatStartsAgainUnderItsIdIsUsedAgain) {
-  Use(1, 2);  // Both are brought without being asked for.
+// Guards against treating the reports of a restarted engine as outdated because
+// it counts its orders from zero again: it would never get an order.
+TEST_F(FleetPlannerTest, RestartedEngineIsOrderedAgain) {
+  CreateEngines(1, 2);  // Both are loaded without demand.
   engines_.at("e0")->Restart(now_);
-  List();
+  UpdateListing();
   Run(seconds(15));
   ASSERT_TRUE(IsReady(ModelName(0)));
   engines_.at("e0")->Restart(now_);
-  List();
+  UpdateListing();
   EXPECT_FALSE(IsReady(ModelName(0)));
   Report(ModelName(0), 1);
   Run(seconds(3));  // Its disk has a copy.
   EXPECT_TRUE(IsReady(ModelName(0)));
 }
 
-// A report written before an engine's crash arrives after the news of its new
-// life. It names models that are gone; requests would be sent for them.
-TEST_F(FleetPlannerTest, ReportOfAnEarlierLifeIsIgnored) {
-  Use(1, 4);
+// Guards against routing requests by a report of the incarnation before a crash
+// that arrives after one of the new incarnation.
+TEST_F(FleetPlannerTest, ReportOfEarlierIncarnationIsIgnored) {
+  CreateEngines(1, 4);
   engines_.at("e0")->Restart(now_);
   engines_.at("e0")->Hold(ModelName(2), kModelBytes);
-  List();
+  UpdateListing();
   Run(milliseconds(100));
   ASSERT_TRUE(IsReady(ModelName(2)));
   const Inventory old = engines_.at("e0")->Report();
   engines_.at("e0")->Restart(now_ + seconds(1));
-  // Its report is ahead of the listing.
+  // The new report arrives before the listing.
   planner_->TakeInventory(engines_.at("e0")->Report(), now_, now_);
   EXPECT_FALSE(IsReady(ModelName(2)));
   planner_->TakeInventory(old, now_, now_);
   EXPECT_FALSE(IsReady(ModelName(2)));
 }
 
-// Guards against a model that stays with a server which takes little of what is
-// asked for it: the rest has nowhere to go.
-TEST_F(FleetPlannerTest, ReplicaIsLoadedBesideALimitedServer) {
-  Use(/*engines=*/3, /*models=*/2);
+// Guards against leaving a model only on a server whose rate limit is below its
+// demand.
+TEST_F(FleetPlannerTest, ReplicaIsLoadedBesideRateLimitedServer) {
+  CreateEngines(/*engines=*/3, /*models=*/2);
   engines_["e0"]->Hold(ModelName(0), kModelBytes);
   engines_["e1"]->Drop("none");
-  List();
+  UpdateListing();
   Run(seconds(1));
   planner_->SetLimits({{"e0", 0.1}});
   for (int i = 0; i < 40; ++i) {
@@ -709,19 +698,19 @@
   EXPECT_GE(holders, 1);
 }
 
-// An order that nobody answered may be carried out seconds later, after newer
-// ones; an engine that is then ordered to load more than fits crashes with all
-// it runs. The count in each order makes the late one void.
+// An order without an answer may be executed seconds later, after newer ones,
+// and an engine that is ordered to load more than fits crashes. The count in
+// each order must make the engine refuse the late one.
 class FleetPlannerChaosTest : public FleetPlannerTest,
                               public testing::WithParamInterface<int> {};
 
 TEST_P(FleetPlannerChaosTest, MemoryIsNeverOvercommitted) {
   SCOPED_TRACE(testing::Message() << "seed " << GetParam());
   random_ = Random(static_cast<uint64_t>(GetParam()));
-  lost_ = 0.1;
-  late_ = 0.2;
-  answer_lost_ = 0.1;
-  Use(4, 14, /*adapters=*/12);
+  order_loss_rate_ = 0.1;
+  order_delay_rate_ = 0.2;
+  answer_loss_rate_ = 0.1;
+  CreateEngines(4, 14, /*adapters=*/12);
   int loads_at_half = 0;
   for (int step = 0; step < 1500; ++step) {
     StepUnderRandomDemand(0.2);
@@ -730,25 +719,25 @@
       ASSERT_FALSE(engine->was_overcommitted()) << id << " at step " << step;
     }
   }
-  // It must have gone on under all that; in the second half too.
+  // Loads must have continued despite the faults, also in the second half.
   EXPECT_GT(loads_at_half, 1);
   EXPECT_GT(Loads(), loads_at_half);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetPlannerChaosTest, testing::Range(1, 41));
 
-// Engines crash and start again under their ids while orders of their earlier
-// lives are still on the way, to be carried out by the new ones.
+// Engines crash and restart under the same ids while orders to their earlier
+// incarnations are in flight and may be executed by the new ones.
 class FleetPlannerRestartTest : public FleetPlannerTest,
                                 public testing::WithParamInterface<int> {};
 
 TEST_P(FleetPlannerRestartTest, MemoryIsNeverOvercommitted) {
   SCOPED_TRACE(testing::Message() << "seed " << GetParam());
   random_ = Random(static_cast<uint64_t>(GetParam()));
-  lost_ = 0.1;
-  late_ = 0.2;
-  answer_lost_ = 0.1;
-  Use(4, 14, /*adapters=*/12);
+  order_loss_rate_ = 0.1;
+  order_delay_rate_ = 0.2;
+  answer_loss_rate_ = 0.1;
+  CreateEngines(4, 14, /*adapters=*/12);
   for (auto& [id, engine] : engines_) engine->Restart(now_);
   int loads_at_half = 0;
   for (int step = 0; step < 1500; ++step) {
@@ -767,18 +756,18 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetPlannerRestartTest, testing::Range(1, 41));
 
-// A policy that is switched off makes placement worse, but may not break what
-// it promises.
+// Disabling a policy may make placement worse but must not break its
+// guarantees.
 class FleetPlannerSwitchTest : public FleetPlannerTest,
                                public testing::WithParamInterface<const char*> {
 };
 
 TEST_P(FleetPlannerSwitchTest, MemoryIsNeverOvercommitted) {
   policies_ = *PolicySet::Without(GetParam());
-  lost_ = 0.1;
-  late_ = 0.2;
-  answer_lost_ = 0.1;
-  Use(4, 14, /*adapters=*/12);
+  order_loss_rate_ = 0.1;
+  order_delay_rate_ = 0.2;
+  answer_loss_rate_ = 0.1;
+  CreateEngines(4, 14, /*adapters=*/12);
   for (int step = 0; step < 1500; ++step) {
     StepUnderRandomDemand(0.3);
     for (const auto& [id, engine] : engines_) {
--- a/tests/placement/memory_ledger_test.cc
+++ b/tests/placement/memory_ledger_test.cc
@@ -11,9 +11,9 @@
 
 class MemoryLedgerTest : public testing::Test {
  protected:
-  MemoryLedgerTest() { Use(/*checks_fence=*/true); }
+  MemoryLedgerTest() { ResetLedger(/*checks_fence=*/true); }
 
-  void Use(bool checks_fence) {
+  void ResetLedger(bool checks_fence) {
     ledger_ = MemoryLedger(checks_fence, seconds(10));
     inventory_ = {};
     inventory_.engine = "e";
@@ -23,11 +23,11 @@
     Report();
   }
 
-  // The engine answers now to a question asked now.
-  void Report() { ReportAskedAt(now_); }
-  void ReportAskedAt(TimePoint asked_at) {
+  // Applies the engine's answer to a request sent now.
+  void Report() { ReportRequestedAt(now_); }
+  void ReportRequestedAt(TimePoint requested_at) {
     ++inventory_.sequence;
-    changes_ = ledger_.Reconcile(inventory_, asked_at, now_);
+    changes_ = ledger_.Reconcile(inventory_, requested_at, now_);
   }
 
   EngineOrder Load(const std::string& name, uint64_t bytes) {
@@ -40,8 +40,8 @@
     return order;
   }
 
-  void EngineHolds(const std::string& name, uint64_t bytes,
-                   ReplicaState state = ReplicaState::kReady) {
+  void AddReplica(const std::string& name, uint64_t bytes,
+                  ReplicaState state = ReplicaState::kReady) {
     Replica replica;
     replica.name = name;
     replica.bytes = bytes;
@@ -56,33 +56,32 @@
   std::vector<LedgerChange> changes_;
 };
 
-TEST_F(MemoryLedgerTest, NothingIsReservedBeforeTheFirstInventory) {
+TEST_F(MemoryLedgerTest, ReserveFailsBeforeFirstInventory) {
   MemoryLedger fresh(true, seconds(10));
   EXPECT_FALSE(fresh.Reserve(Load("a", 1), now_));
 }
 
-TEST_F(MemoryLedgerTest, KvCacheAndReservationsCount) {
+TEST_F(MemoryLedgerTest, KvCacheAndReservationsReduceFreeMemory) {
   EXPECT_EQ(ledger_.free_bytes(), 900u);
   EXPECT_TRUE(ledger_.Reserve(Load("a", 600), now_));
   EXPECT_FALSE(ledger_.Reserve(Load("b", 301), now_));
   EXPECT_TRUE(ledger_.Reserve(Load("b", 300), now_));
-  EXPECT_FALSE(ledger_.Reserve(Load("b", 0), now_)) << "held already";
+  EXPECT_FALSE(ledger_.Reserve(Load("b", 0), now_)) << "already reserved";
 }
 
-// The answer to a load order is lost. An inventory that was written before
-// the order arrived does not show the model. Memory freed on its word would
-// be filled twice.
-TEST_F(MemoryLedgerTest, ReportOlderThanTheOrderProvesNothing) {
+// Guards against filling memory twice: the answer to a load order is lost, and
+// an inventory that was written before the order arrived lacks the model.
+TEST_F(MemoryLedgerTest, ReportOlderThanOrderKeepsReservation) {
   ledger_.Reserve(Load("a", 600), now_);
   Report();
   EXPECT_EQ(ledger_.free_bytes(), 300u);
   now_ += seconds(60);
   Report();
-  EXPECT_EQ(ledger_.free_bytes(), 300u) << "the order may still be on its way";
+  EXPECT_EQ(ledger_.free_bytes(), 300u) << "the order may still be in flight";
 }
 
-// The engine has seen a fence above the order: the order is void for ever.
-TEST_F(MemoryLedgerTest, HigherFenceSettlesALostOrder) {
+// An engine that has seen a fence above the order will always refuse it.
+TEST_F(MemoryLedgerTest, HigherFenceSettlesLostOrder) {
   ledger_.Reserve(Load("a", 600), now_);
   inventory_.highest_fence = {5, sequence_ + 1};
   Report();
@@ -91,29 +90,30 @@
   EXPECT_EQ(changes_[0].kind, LedgerChange::Kind::kLoadFailed);
 }
 
-// An engine that does not check remembers no fence; only time settles.
-TEST_F(MemoryLedgerTest, UnfencedEngineNeedsTheHorizon) {
-  Use(/*checks_fence=*/false);
+// An engine that does not check fences never refuses a lost order, so only the
+// horizon settles it.
+TEST_F(MemoryLedgerTest, HorizonSettlesLostOrderOfUnfencedEngine) {
+  ResetLedger(/*checks_fence=*/false);
   ledger_.Reserve(Load("a", 600), now_);
   inventory_.highest_fence = {9, 9};
   now_ += seconds(9);
   Report();
   EXPECT_EQ(ledger_.free_bytes(), 300u);
   now_ += seconds(2);
-  ReportAskedAt(now_ - seconds(3));
-  EXPECT_EQ(ledger_.free_bytes(), 300u) << "asked before the horizon";
+  ReportRequestedAt(now_ - seconds(3));
+  EXPECT_EQ(ledger_.free_bytes(), 300u) << "requested before the horizon";
   Report();
   EXPECT_EQ(ledger_.free_bytes(), 900u);
 }
 
-// Two answers cross on the wire. The older one shows the memory from before
-// the load.
-TEST_F(MemoryLedgerTest, CrossedAnswersChangeNothing) {
+// Two answers arrive out of order. The older one shows the memory before the
+// load.
+TEST_F(MemoryLedgerTest, OutOfOrderAnswerIsIgnored) {
   ledger_.Reserve(Load("a", 600), now_);
   Inventory older = inventory_;
   older.sequence = ++inventory_.sequence;
   older.highest_fence = {5, sequence_ + 1};
-  EngineHolds("a", 600);
+  AddReplica("a", 600);
   Report();
   ledger_.Reconcile(older, now_, now_);
   EXPECT_EQ(ledger_.free_bytes(), 300u);
@@ -121,23 +121,23 @@
   EXPECT_EQ(ledger_.Find("a")->state, HoldingState::kReady);
 }
 
-TEST_F(MemoryLedgerTest, UnloadedMemoryIsFreeOnlyWhenSeenGone) {
-  EngineHolds("a", 600);
+TEST_F(MemoryLedgerTest, UnloadFreesMemoryOnlyWhenConfirmed) {
+  AddReplica("a", 600);
   Report();
   EngineOrder unload = Load("a", 0);
   unload.kind = OrderKind::kUnload;
   EXPECT_TRUE(ledger_.BeginUnload(unload, now_));
   EXPECT_EQ(ledger_.free_bytes(), 300u);
   Report();
-  EXPECT_EQ(ledger_.free_bytes(), 300u) << "still there";
+  EXPECT_EQ(ledger_.free_bytes(), 300u) << "still in the inventory";
   inventory_.replicas.clear();
   Report();
   EXPECT_EQ(ledger_.free_bytes(), 900u);
 }
 
-// The engine refuses an unload because a request came first.
-TEST_F(MemoryLedgerTest, RefusedUnloadIsReadyAgain) {
-  EngineHolds("a", 600);
+// The engine refuses an unload because a request arrived first.
+TEST_F(MemoryLedgerTest, RefusedUnloadRestoresReadyState) {
+  AddReplica("a", 600);
   Report();
   EngineOrder unload = Load("a", 0);
   unload.kind = OrderKind::kUnload;
@@ -147,34 +147,35 @@
   EXPECT_EQ(ledger_.Find("a")->state, HoldingState::kReady);
 }
 
-// A former owner died while its load ran. The new one finds it and counts it.
-TEST_F(MemoryLedgerTest, LoadOfAFormerOwnerIsAdopted) {
-  EngineHolds("a", 600, ReplicaState::kLoading);
+// An earlier owner crashed during a load. The new owner must count its memory.
+TEST_F(MemoryLedgerTest, LoadOfEarlierOwnerIsAdopted) {
+  AddReplica("a", 600, ReplicaState::kLoading);
   Report();
   EXPECT_EQ(ledger_.free_bytes(), 300u);
   ASSERT_EQ(changes_.size(), 1u);
   EXPECT_EQ(changes_[0].kind, LedgerChange::Kind::kAdopted);
 }
 
-TEST_F(MemoryLedgerTest, NextIncarnationIsEmpty) {
-  EngineHolds("a", 600);
+TEST_F(MemoryLedgerTest, NewIncarnationRemovesHoldings) {
+  AddReplica("a", 600);
   Report();
   inventory_.incarnation = 2;
   inventory_.sequence = 0;
   inventory_.replicas.clear();
   Report();
   EXPECT_EQ(ledger_.free_bytes(), 900u);
-  Inventory ghost = inventory_;
-  ghost.incarnation = 1;
-  ghost.sequence = 99;
-  EXPECT_TRUE(ledger_.Reconcile(ghost, now_, now_).empty());
+  Inventory outdated = inventory_;
+  outdated.incarnation = 1;
+  outdated.sequence = 99;
+  EXPECT_TRUE(ledger_.Reconcile(outdated, now_, now_).empty());
 }
 
-// Guards against a load that is forgotten while it is under way to an engine
-// that obeys it after its restart: its memory would be filled twice.
-TEST_F(MemoryLedgerTest, OrderUnderWayOutlivesTheRestartOfAnUnfencedEngine) {
-  Use(/*checks_fence=*/false);
-  EngineHolds("old", 300);
+// Guards against removing a load order that is in flight when an engine without
+// fence checks restarts. The engine still executes it, so its memory would be
+// filled twice.
+TEST_F(MemoryLedgerTest, RestartOfUnfencedEngineKeepsOrderInFlight) {
+  ResetLedger(/*checks_fence=*/false);
+  AddReplica("old", 300);
   Report();
   ledger_.Reserve(Load("a", 600), now_);
   inventory_.incarnation = 2;
@@ -185,11 +186,11 @@
   EXPECT_EQ(ledger_.free_bytes(), 300u);
   now_ += seconds(11);
   Report();
-  EXPECT_EQ(ledger_.free_bytes(), 900u) << "no order is under way so long";
+  EXPECT_EQ(ledger_.free_bytes(), 900u) << "no order is in flight for so long";
 }
 
-// A checking engine refuses orders for its earlier life.
-TEST_F(MemoryLedgerTest, OrderUnderWayEndsWithTheRestartOfAFencedEngine) {
+// An engine that checks fences refuses orders for its earlier incarnation.
+TEST_F(MemoryLedgerTest, RestartOfFencedEngineEndsOrderInFlight) {
   ledger_.Reserve(Load("a", 600), now_);
   inventory_.incarnation = 2;
   Report();
