--- a/placement/demand.h
+++ b/placement/demand.h
@@ -49,31 +49,31 @@
 
 // Why the owner has not ordered a load for a waiting target. Ascending: the
 // higher the value, the closer the target was to being loaded.
-enum class PutOff : uint8_t {
-  kNone,           // An order was sent, or the target was not examined yet.
-  kNoEngine,       // No responsive engine could hold it.
-  kStoreFull,      // No engine has a copy, and the weight store is busy.
-  kNothingToDrop,  // All models on the engines are in use or newly loaded.
-  kWorthLess,      // The models to evict are worth more.
-  kReserved,       // The engines are reserved for other targets.
-  kEngineBusy,     // The best engine is executing another order.
+enum class Deferral : uint8_t {
+  kNone,              // An order was sent, or the target was not examined yet.
+  kNoEngine,          // No responsive engine could hold it.
+  kStoreFull,         // No engine has a copy, and the weight store is busy.
+  kNothingToEvict,    // All models on the engines are in use or newly loaded.
+  kVictimsWorthMore,  // The models to evict are worth more.
+  kReserved,          // The engines are reserved for other targets.
+  kEngineBusy,        // The best engine is executing another order.
 };
 
-constexpr const char* PutOffName(PutOff reason) {
+constexpr const char* DeferralName(Deferral reason) {
   switch (reason) {
-    case PutOff::kNone:
+    case Deferral::kNone:
       return "none";
-    case PutOff::kNoEngine:
+    case Deferral::kNoEngine:
       return "no_engine";
-    case PutOff::kStoreFull:
+    case Deferral::kStoreFull:
       return "store_full";
-    case PutOff::kNothingToDrop:
+    case Deferral::kNothingToEvict:
       return "nothing_to_drop";
-    case PutOff::kWorthLess:
+    case Deferral::kVictimsWorthMore:
       return "worth_less";
-    case PutOff::kReserved:
+    case Deferral::kReserved:
       return "reserved";
-    case PutOff::kEngineBusy:
+    case Deferral::kEngineBusy:
       return "engine_busy";
   }
   return "none";
@@ -84,7 +84,7 @@
   std::string group;
   DemandStatus status = DemandStatus::kUnknown;
   Duration expected{0};  // Estimated time until the target is ready.
-  PutOff put_off = PutOff::kNone;
+  Deferral deferral = Deferral::kNone;
 };
 
 }  // namespace applehall
--- a/placement/engine_owner.cc
+++ b/placement/engine_owner.cc
@@ -90,7 +90,7 @@
   engines_ = std::move(next);
 }
 
-int EngineOwner::TakeOpenStoreLoads() {
+int EngineOwner::ReleaseStoreLoads() {
   const auto open = std::count_if(
       load_tiers_.begin(), load_tiers_.end(), [](const auto& entry) {
         return entry.second == CheckpointTier::kRemote;
@@ -336,7 +336,7 @@
     std::vector<OrderToSend>& orders) {
   for (; ended_store_loads_ > 0; --ended_store_loads_) store.End();
   Inspect(now, orders);
-  wants_store_ = false;
+  needs_store_ = false;
   if (stopped_) return;
   std::erase_if(demands_, [now](const auto& entry) {
     return entry.second.received_at + kDemandTtl < now;
@@ -403,7 +403,7 @@
   }
   const CheckpointTier tier = TierOn(engine, entry.name);
   if (tier == CheckpointTier::kRemote && !store.TryBegin(now)) {
-    wants_store_ = wants_store_ || !demand.is_prewarm;
+    needs_store_ = needs_store_ || !demand.is_prewarm;
     return false;
   }
   EngineOrder order = MakeOrder(engine, OrderKind::kLoad, entry.name, now);
@@ -497,7 +497,7 @@
     const Duration idle = now - std::max(holding.last_used, holding.settled_at);
     double cost =
         ToSeconds(predictor_.Predict(holding.bytes, TierOn(engine, name))) *
-        idle_policy_.ChanceOfUse(name, idle, kEvictionHorizon) /
+        idle_policy_.UseProbability(name, idle, kEvictionHorizon) /
         static_cast<double>(std::max<uint64_t>(1, holding.bytes));
     // Models that rules keep warm go last.
     if (Count(name).ready <= policy.bounds->For(name).least) cost += 1.0;
@@ -699,7 +699,7 @@
   return answer;
 }
 
-bool EngineOwner::IsQuiet(TimePoint now) const {
+bool EngineOwner::IsIdle(TimePoint now) const {
   return std::none_of(engines_.begin(), engines_.end(), [&](const auto& item) {
     return item.second.ledger.HasUnsettledOrder(now + Duration{1});
   });
--- a/placement/engine_owner.h
+++ b/placement/engine_owner.h
@@ -52,7 +52,7 @@
 };
 
 // A placement event for the log and the decision ring.
-struct PlacementNote {
+struct PlacementEvent {
   std::string event;
   std::string engine;
   std::string target;
@@ -101,16 +101,18 @@
                       const std::function<int(const std::string&, int)>& quota,
                       TimePoint now) const;
   // True if no order can still be in flight. Not thread-safe.
-  bool IsQuiet(TimePoint now) const;
+  bool IsIdle(TimePoint now) const;
   // Returns and clears the events since the last call. Not thread-safe.
-  std::vector<PlacementNote> TakeNotes() { return std::exchange(events_, {}); }
+  std::vector<PlacementEvent> TakeEvents() {
+    return std::exchange(events_, {});
+  }
   const std::string& group() const { return group_; }
   FencingToken token() const { return token_; }
   // Releases the weight store slots of all open loads and returns their number;
   // the engines continue to load. For an owner that retires. Not thread-safe.
-  int TakeOpenStoreLoads();
+  int ReleaseStoreLoads();
   // True if a load waits for the weight store, so slots should be borrowed.
-  bool wants_store() const { return wants_store_; }
+  bool needs_store() const { return needs_store_; }
 
   struct EngineState {
     EngineFacts facts;
@@ -219,7 +221,7 @@
   bool unfenced_blocked_ = true;
   TimePoint unfenced_unblocked_at_;
   bool stopped_ = false;
-  bool wants_store_ = false;
+  bool needs_store_ = false;
   uint64_t last_sequence_ = 0;
   uint64_t last_order_ = 0;
   TimePoint last_order_at_;
@@ -229,7 +231,7 @@
   std::map<std::string, CheckpointTier> load_tiers_;  // By "engine/target".
   IdlePolicy idle_policy_;
   LoadPredictor predictor_;
-  std::vector<PlacementNote> events_;
+  std::vector<PlacementEvent> events_;
   int ended_store_loads_ = 0;
 };
 
--- a/placement/fleet_planner.cc
+++ b/placement/fleet_planner.cc
@@ -272,13 +272,13 @@
          !engine.listed.is_leaving && !engine.call;
 }
 
-bool FleetPlanner::IsQuiet() const {
+bool FleetPlanner::IsIdle() const {
   return std::none_of(engines_.begin(), engines_.end(), [](const auto& item) {
     return item.second.call.has_value();
   });
 }
 
-std::vector<std::string> FleetPlanner::ReadyOn(
+std::vector<std::string> FleetPlanner::ReadyTargetsOf(
     const std::string& engine) const {
   std::vector<std::string> ready;
   const auto it = engines_.find(engine);
@@ -294,8 +294,8 @@
   return ready;
 }
 
-double FleetPlanner::ArrivalsAt(const std::string& engine,
-                                TimePoint now) const {
+double FleetPlanner::ArrivalRate(const std::string& engine,
+                                 TimePoint now) const {
   const auto it = engines_.find(engine);
   if (it == engines_.end()) return 0;
   double arrivals = 0;
@@ -309,7 +309,7 @@
   return arrivals;
 }
 
-uint64_t FleetPlanner::VersionOf(const std::string& engine) const {
+uint64_t FleetPlanner::StateVersion(const std::string& engine) const {
   const auto it = engines_.find(engine);
   return it == engines_.end() || !it->second.is_known ? 0 : it->second.version;
 }
@@ -873,7 +873,7 @@
       policies_.Has(Policy::kReservations) && engine.reserved_until > now &&
       engine.reserved_for != entry.name && !engine.reserved_for.empty();
   if (is_reserved) {
-    search.Reject(PutOff::kReserved);
+    search.Reject(Deferral::kReserved);
     return std::nullopt;
   }
   Option option;
@@ -896,7 +896,7 @@
     const uint64_t needed = used + entry.bytes - engine_class->memory_bytes;
     option.victims = ChooseVictims(engine, needed, now);
     if (option.victims.empty()) {
-      search.Reject(PutOff::kNothingToDrop);
+      search.Reject(Deferral::kNothingToEvict);
       return std::nullopt;
     }
     for (const std::string& victim : option.victims) {
@@ -911,7 +911,7 @@
   // Does not evict models whose worth per second exceeds the total worth of the
   // new one; otherwise demand that has moved on would evict models in demand.
   if (loss > worth) {
-    search.Reject(PutOff::kWorthLess);
+    search.Reject(Deferral::kVictimsWorthMore);
     return std::nullopt;
   }
   const double blocked = BlockedAdapterLoss(engine, ready_in);
@@ -928,7 +928,7 @@
                              double worth, bool only_if_idle, TimePoint now,
                              Search& search) {
   if (only_if_idle && (engine.model_order || !MayOrder(engine))) {
-    search.Reject(PutOff::kEngineBusy);
+    search.Reject(Deferral::kEngineBusy);
     return;
   }
   std::optional<Option> option =
@@ -948,7 +948,7 @@
     TryEngine(engines_.at(id), entry, worth, only_if_idle, now, search);
   }
   if (!HasStoreCapacity(entry.service, now)) {
-    search.Reject(PutOff::kStoreFull);
+    search.Reject(Deferral::kStoreFull);
     return search;
   }
   for (auto& [id, engine] : engines_) {
@@ -981,9 +981,9 @@
 // of it. That report lags by 0.3 s, a fifth of a load from disk. The load
 // states the count that includes the unload, and the engine refuses it while
 // the unload is in progress, so its acceptance proves that the memory is free.
-bool FleetPlanner::MayLoadAfterUnload(const Engine& engine,
-                                      const CatalogueEntry& entry,
-                                      TimePoint now) const {
+bool FleetPlanner::MayFollowUnload(const Engine& engine,
+                                   const CatalogueEntry& entry,
+                                   TimePoint now) const {
   if (!engine.model_order || !MayOrder(engine)) return false;
   const OpenOrder& unload = *engine.model_order;
   if (unload.kind != OrderKind::kUnload || !unload.is_accepted) return false;
@@ -1029,20 +1029,20 @@
   return true;
 }
 
-PutOff FleetPlanner::PlaceModel(const CatalogueEntry& entry, double worth,
-                                const std::string& reason, bool only_if_idle,
-                                TimePoint now,
-                                std::vector<OrderToSend>& orders) {
+Deferral FleetPlanner::PlaceModel(const CatalogueEntry& entry, double worth,
+                                  const std::string& reason, bool only_if_idle,
+                                  TimePoint now,
+                                  std::vector<OrderToSend>& orders) {
   if (Engine* prepared = FindEvictingEngine(entry.name, now)) {
-    if (!MayLoadAfterUnload(*prepared, entry, now)) return PutOff::kEngineBusy;
+    if (!MayFollowUnload(*prepared, entry, now)) return Deferral::kEngineBusy;
     prepared->unload_before = prepared->model_order;
     SendOrder(*prepared, OrderKind::kLoad, entry, TierOn(*prepared, entry.name),
               reason, now, orders);
-    return PutOff::kNone;
+    return Deferral::kNone;
   }
   const Search search = FindOption(entry, worth, only_if_idle, now);
   const std::optional<Option>& option = search.best;
-  if (!option) return search.put_off;
+  if (!option) return search.deferral;
   Engine& engine = *option->engine;
   if (!MayOrder(engine) || engine.model_order) {
     // Waiting for this engine is faster than any other option.
@@ -1051,7 +1051,7 @@
       engine.reserved_for = entry.name;
       engine.reserved_until = now + kEndPollInterval;
     }
-    return PutOff::kEngineBusy;
+    return Deferral::kEngineBusy;
   }
   engine.reserved_for = entry.name;
   engine.reserved_until = now + kReservationTime;
@@ -1063,11 +1063,11 @@
     unknown.name = option->victims.front();
     SendOrder(engine, OrderKind::kUnload, victim ? *victim : unknown,
               option->tier, absl::StrCat("load of ", entry.name), now, orders);
-    return PutOff::kNone;
+    return Deferral::kNone;
   }
   engine.reserved_for.clear();
   SendOrder(engine, OrderKind::kLoad, entry, option->tier, reason, now, orders);
-  return PutOff::kNone;
+  return Deferral::kNone;
 }
 
 int FleetPlanner::UsedAdapterSlots(const Engine& engine) {
@@ -1185,11 +1185,11 @@
       PlaceAdapter(*entry, demand.worth, now, orders);
       continue;
     }
-    const PutOff put_off = PlaceModel(
+    const Deferral deferral = PlaceModel(
         *entry, demand.worth,
         absl::StrCat(demand.waiting, " waiting, worth ", demand.worth), false,
         now, orders);
-    RecordDeferral(demand.target, put_off);
+    RecordDeferral(demand.target, deferral);
   }
   if (next_attempts_.size() > kMaxTrackedTargets) next_attempts_.clear();
   if (deferrals_.size() > kMaxTrackedTargets) deferrals_.clear();
@@ -1198,12 +1198,12 @@
 
 // Logs only changes of the reason: a refusal can be traced to it without a log
 // line per attempt.
-void FleetPlanner::RecordDeferral(const std::string& target, PutOff reason) {
+void FleetPlanner::RecordDeferral(const std::string& target, Deferral reason) {
   const auto [known, is_new] = deferrals_.try_emplace(target, reason);
   if (!is_new && known->second == reason) return;
   known->second = reason;
-  if (reason == PutOff::kNone) return;
-  Record("load_put_off", "", target, PutOffName(reason));
+  if (reason == Deferral::kNone) return;
+  Record("load_put_off", "", target, DeferralName(reason));
 }
 
 // Requests for adapters count for their base model, whose replicas serve them.
@@ -1324,10 +1324,10 @@
     if (!entry.base.empty() || entry.service.empty()) continue;
     const Locations& locations = Locate(name);
     if (!locations.holders.empty() || !locations.copies.empty()) continue;
-    const PutOff put_off = PlaceModel(entry, kSeedWorth, "no engine has a copy",
-                                      true, now, orders);
+    const Deferral deferral = PlaceModel(
+        entry, kSeedWorth, "no engine has a copy", true, now, orders);
     // Other models of this size would fail for the same reason.
-    if (put_off != PutOff::kNone || StoreLoads() >= max_loads) return;
+    if (deferral != Deferral::kNone || StoreLoads() >= max_loads) return;
   }
 }
 
@@ -1410,8 +1410,8 @@
     answer.status = DemandStatus::kReady;
     return answer;
   }
-  const auto put_off = deferrals_.find(target);
-  if (put_off != deferrals_.end()) answer.put_off = put_off->second;
+  const auto deferral = deferrals_.find(target);
+  if (deferral != deferrals_.end()) answer.deferral = deferral->second;
   const auto ready_at = store_ready_at_.find(target);
   if (ready_at != store_ready_at_.end()) {
     answer.status = DemandStatus::kQueued;
--- a/placement/fleet_planner.h
+++ b/placement/fleet_planner.h
@@ -59,22 +59,24 @@
   DemandAnswer Answer(const std::string& target, TimePoint now) const;
   // Targets that `engine` can serve, and the version of its state, which grows
   // with each change; zero if unknown. Not thread-safe.
-  std::vector<std::string> ReadyOn(const std::string& engine) const;
-  uint64_t VersionOf(const std::string& engine) const;
+  std::vector<std::string> ReadyTargetsOf(const std::string& engine) const;
+  uint64_t StateVersion(const std::string& engine) const;
   // Requests of all hosts in progress on `engine`, as far as reported.
-  int RequestsAt(const std::string& engine) const {
+  int RunningRequestCount(const std::string& engine) const {
     return usage_.RunningOnEngine(engine);
   }
   // Requests per second for the targets that are ready on `engine`; of targets
   // with several replicas, this engine's share. Not thread-safe.
-  double ArrivalsAt(const std::string& engine, TimePoint now) const;
+  double ArrivalRate(const std::string& engine, TimePoint now) const;
   // True if an engine has seen a higher token than this planner's.
   bool is_superseded() const { return is_superseded_; }
   // True if no order awaits its answer.
-  bool IsQuiet() const;
+  bool IsIdle() const;
   FencingToken token() const { return token_; }
   // Returns and clears the events since the last call. Not thread-safe.
-  std::vector<PlacementNote> TakeNotes() { return std::exchange(events_, {}); }
+  std::vector<PlacementEvent> TakeEvents() {
+    return std::exchange(events_, {});
+  }
   Json ToJson(TimePoint now) const;
 
  private:
@@ -168,9 +170,9 @@
   // The best option found so far; without one, the highest reason against it.
   struct Search {
     std::optional<Option> best;
-    PutOff put_off = PutOff::kNoEngine;
+    Deferral deferral = Deferral::kNoEngine;
 
-    void Reject(PutOff reason) { put_off = std::max(put_off, reason); }
+    void Reject(Deferral reason) { deferral = std::max(deferral, reason); }
   };
   std::optional<Option> MakeOption(Engine& engine, const CatalogueEntry& entry,
                                    double worth, bool is_background,
@@ -181,21 +183,21 @@
                  bool only_if_idle, TimePoint now, Search& search);
   bool HasStoreCapacity(const std::string& service, TimePoint now) const;
   Engine* FindEvictingEngine(const std::string& model, TimePoint now);
-  bool MayLoadAfterUnload(const Engine& engine, const CatalogueEntry& entry,
-                          TimePoint now) const;
+  bool MayFollowUnload(const Engine& engine, const CatalogueEntry& entry,
+                       TimePoint now) const;
   void FinishUnload(Engine& engine, const OpenOrder& unload, TimePoint now);
   bool HandleRefusedLoad(Engine& engine, const OpenOrder& call,
                          OrderResult result, TimePoint now);
   // Returns why no order was sent; kNone if one was.
-  PutOff PlaceModel(const CatalogueEntry& entry, double worth,
-                    const std::string& reason, bool only_if_idle, TimePoint now,
-                    std::vector<OrderToSend>& orders);
+  Deferral PlaceModel(const CatalogueEntry& entry, double worth,
+                      const std::string& reason, bool only_if_idle,
+                      TimePoint now, std::vector<OrderToSend>& orders);
   void PlaceAdapter(const CatalogueEntry& entry, double worth, TimePoint now,
                     std::vector<OrderToSend>& orders);
   bool EvictAdapter(Engine& engine, TimePoint now,
                     std::vector<OrderToSend>& orders);
   static int UsedAdapterSlots(const Engine& engine);
-  void RecordDeferral(const std::string& target, PutOff reason);
+  void RecordDeferral(const std::string& target, Deferral reason);
   void ServeWaiting(TimePoint now, std::vector<OrderToSend>& orders);
   // Capacity of an engine in replicas: one, or less if it has a rate limit.
   double ReplicaShare(const std::string& engine) const;
@@ -255,7 +257,7 @@
   absl::flat_hash_map<std::string, TimePoint> next_attempts_;
   absl::flat_hash_map<std::string, TimePoint> store_ready_at_;
   // Why no load of a waiting target was ordered at the last attempt.
-  absl::flat_hash_map<std::string, PutOff> deferrals_;
+  absl::flat_hash_map<std::string, Deferral> deferrals_;
   TimePoint next_seed_at_;
   TimePoint next_fill_at_;
   UsageTable usage_;
@@ -275,7 +277,7 @@
   double store_width_;
   bool is_store_width_known_ = false;  // A load was slowed by concurrent ones.
   bool is_superseded_ = false;
-  std::vector<PlacementNote> events_;
+  std::vector<PlacementEvent> events_;
 };
 
 }  // namespace applehall
--- a/placement/idle_policy.cc
+++ b/placement/idle_policy.cc
@@ -61,8 +61,8 @@
   return it == histories_.end() ? TimePoint{} : it->second.last_use;
 }
 
-double IdlePolicy::ChanceOfUse(const std::string& model, Duration idle,
-                               Duration span) const {
+double IdlePolicy::UseProbability(const std::string& model, Duration idle,
+                                  Duration span) const {
   const auto it = histories_.find(model);
   if (it == histories_.end() || it->second.total < kMinHistoryWeight) {
     return 0.5;
--- a/placement/idle_policy.h
+++ b/placement/idle_policy.h
@@ -48,8 +48,8 @@
   TimePoint LastUse(const std::string& model) const;
   // Probability that the next request arrives within `span`, given that the
   // model has been idle for `idle`. Not thread-safe.
-  double ChanceOfUse(const std::string& model, Duration idle,
-                     Duration span) const;
+  double UseProbability(const std::string& model, Duration idle,
+                        Duration span) const;
   // Names of all models with a recorded use, sorted. Not thread-safe.
   std::vector<std::string> KnownModels() const;
   size_t model_count() const { return histories_.size(); }
--- a/placement/store_budget.h
+++ b/placement/store_budget.h
@@ -46,7 +46,7 @@
 
   // Time until the rate allows a load, without borrowing.
   Duration TimeUntilLoad(TimePoint now) const;
-  double loads_saved(TimePoint now) const;
+  double available_loads(TimePoint now) const;
   int slots_in_use() const { return in_use_; }
   double slots(TimePoint now) const;
 
--- a/tests/placement/fleet_planner_test.cc
+++ b/tests/placement/fleet_planner_test.cc
@@ -151,7 +151,7 @@
 
   bool IsReady(const std::string& target) const {
     return std::any_of(engines_.begin(), engines_.end(), [&](const auto& item) {
-      const auto ready = planner_->ReadyOn(item.first);
+      const auto ready = planner_->ReadyTargetsOf(item.first);
       return std::find(ready.begin(), ready.end(), target) != ready.end();
     });
   }
@@ -284,7 +284,7 @@
     Run(milliseconds(200));
   }
   int refused = 0;
-  for (const PlacementNote& note : planner_->TakeNotes()) {
+  for (const PlacementEvent& note : planner_->TakeEvents()) {
     if (note.event == "order_answered" && note.reason == "busy") ++refused;
   }
   EXPECT_EQ(refused, 0);
@@ -461,10 +461,10 @@
   Report(ModelName(0), 1);
   now_ += milliseconds(50);
   planner_->Decide(true, now_, orders);
-  ASSERT_FALSE(planner_->IsQuiet());
+  ASSERT_FALSE(planner_->IsIdle());
   now_ += seconds(4);
   planner_->Decide(true, now_, orders);
-  EXPECT_TRUE(planner_->IsQuiet());
+  EXPECT_TRUE(planner_->IsIdle());
 }
 
 // Guards against evicting on several engines for one replica: an unload takes a
