--- a/placement/engine_owner.cc
+++ b/placement/engine_owner.cc
@@ -176,8 +176,8 @@
 }
 
 // An engine that does not check fences also executes the orders of an earlier
-// owner until that owner has released the group or is confirmed gone. Their
-// effect shows only in an inventory requested after that.
+// owner until that owner has released the group or its departure is confirmed.
+// Their effect shows only in an inventory requested after that.
 bool EngineOwner::IsSharedWithEarlierOwner(const EngineState& engine) const {
   if (engine.facts.checks_fence) return false;
   return unfenced_blocked_ || engine.last_requested_at < unfenced_unblocked_at_;
--- a/placement/fleet_planner.cc
+++ b/placement/fleet_planner.cc
@@ -49,7 +49,7 @@
 constexpr Duration kCallTimeout = seconds(3);
 // Time to unload a model without requests.
 constexpr Duration kUnloadTime = milliseconds(60);
-// Extra cost of unloading a model with requests in progress, which must end.
+// Extra cost of unloading a model with requests in progress: they finish first.
 constexpr double kBusyVictimSeconds = 3.0;
 // Engines do not announce the end of an adapter's load. It usually takes 6 to
 // 29 ms, and a request that arrives too early is rejected without harm.
@@ -834,8 +834,8 @@
     if (now - holding.since < kMinResidency) continue;
     if (usage_.HasWaiting(name)) continue;
     double loss = EvictionLoss(engine, name, now);
-    // Of equals prefers the one with the most replicas, which tell the busy
-    // models before usage is known, and then the oldest.
+    // Of equals prefers the one with the most replicas, a hint to its demand
+    // while no usage is reported yet, and then the oldest.
     loss -= kReplicaBonus * std::min(kMaxBonusReplicas, Locate(name).ready);
     loss -= kAgeBonus * ToSeconds(now - holding.since);
     if (usage_.RunningOn(engine.listed.id, name) > 0) {
--- a/tests/placement/fleet_planner_test.cc
+++ b/tests/placement/fleet_planner_test.cc
@@ -230,13 +230,13 @@
   for (int i = 0; i < 3; ++i)
     engines_.at("e0")->Hold(ModelName(i), kModelBytes);
   Run(seconds(3));
-  const TimePoint asked = now_;
+  const TimePoint requested_at = now_;
   Report(ModelName(3), 1);
   while (Count(OrderKind::kLoad, ModelName(3)) == 0) {
     Step();
-    ASSERT_LT(now_ - asked, seconds(2));
+    ASSERT_LT(now_ - requested_at, seconds(2));
   }
-  EXPECT_LE(now_ - asked, milliseconds(300));
+  EXPECT_LE(now_ - requested_at, milliseconds(300));
 }
 
 // Guards against evicting busy models for single requests for rare ones, which
