--- a/node/fleet_keeper.cc
+++ b/node/fleet_keeper.cc
@@ -223,7 +223,7 @@
   planner_->SetServers(servers_, context_.now);
   applied_.clear();
   told_.clear();
-  quarantine_.RestartRows(last_news_);
+  quarantine_.RenumberRows(last_news_);
   quotas_.StartPlanning();
   limits_.StartPlanning(last_news_);
   readers_.Restart(context_.now);
@@ -341,7 +341,7 @@
   const double link = context_.settings.link_mbps;
   if (link > 0 && link < kReaderLink) body["b"] = link;
   body["s"] = CanReadStore();
-  Json ends = quarantine_.TakeReportRows(lease_.NewestOwner().token);
+  Json ends = quarantine_.BuildReportRows(lease_.NewestOwner().token);
   if (!ends.is_null()) body[kServerEnds] = std::move(ends);
   Json usage = quotas_.ReportRows();
   if (!usage.empty()) body[kQuotaRows] = std::move(usage);
@@ -375,7 +375,7 @@
   if (body.contains(kQuotaRows)) {
     quotas_.TakeReport(host, peer.data_centre, body[kQuotaRows]);
   }
-  limits_.NoteHost(host);
+  limits_.RecordHostContact(host);
   if (body.contains(kLimitRows)) {
     limits_.TakeReport(host, body[kLimitRows], servers_);
   }
@@ -690,7 +690,7 @@
   quarantine_.RunTick(planner_ != nullptr, lease_.HeardWithin(kPlanLife));
   quotas_.RunTick(reader_);
   limits_.RunTick(lease_.Owner(), lease_.NewestOwner().token,
-                  lease_.HeardWithin(kOwnerTrust));
+                  lease_.HeardWithin(kOwnerContactTtl));
   if (planner_) {
     const bool has_news = HasNewWaiting();
     if (has_news || context_.now - reported_at_ >= kBeatInterval) {
--- a/node/node.cc
+++ b/node/node.cc
@@ -96,7 +96,7 @@
   context_.log_answered_at = context_.now;
   context_.log_failed = false;
   if (event.batch.stream == kClaimsStream) {
-    flow_.TakeClaims(event.batch);
+    flow_.HandleClaims(event.batch);
     return;
   }
   context_.control.Apply(event.batch);
@@ -143,7 +143,7 @@
   writer_.Ended(event.record_id);
   if (event.is_appended) return;
   context_.metrics.Count("log_appends_unanswered_total");
-  flow_.ClaimAppendFailed(event.record_id);
+  flow_.HandleClaimAppendFailed(event.record_id);
 }
 
 void Node::On(const HostListRead& event) {
@@ -225,7 +225,7 @@
       return;
     }
     case PeerMessageType::kDemandAnswer:
-      flow_.TakeDemandAnswer(DemandAnswerFrom(body));
+      flow_.HandleDemandAnswer(DemandAnswerFrom(body));
       return;
     case PeerMessageType::kStoreBorrow:
       groups_.TakeStoreBorrow(event.host, body);
@@ -238,7 +238,7 @@
       return;
     case PeerMessageType::kFleetPlan:
       for (const DemandAnswer& answer : fleet_.TakePlan(event.host, body)) {
-        flow_.TakeDemandAnswer(answer);
+        flow_.HandleDemandAnswer(answer);
       }
       flow_.PumpAll();
       return;
@@ -250,16 +250,16 @@
       fleet_.NoteOwner(StoreRelay::OwnerIn(body));
       return;
     case PeerMessageType::kQuotaUsage:
-      quotas_.TakeCentreUsage(event.host, body);
+      quotas_.HandleCentreUsage(event.host, body);
       return;
     case PeerMessageType::kQuotaWord:
-      quotas_.TakeCentreWord(body);
+      quotas_.HandleCentreShares(body);
       return;
     case PeerMessageType::kPermitAsk:
-      limits_.TakeAsks(event.host, body);
+      limits_.HandlePermitRequests(event.host, body);
       return;
     case PeerMessageType::kPermitAnswer:
-      limits_.TakeAnswers(body);
+      limits_.HandlePermitAnswers(body);
       return;
   }
 }
@@ -277,7 +277,7 @@
   if (IsFleet()) {
     flow_.RunTick();
     for (const DemandAnswer& answer : fleet_.RunTick()) {
-      flow_.TakeDemandAnswer(answer);
+      flow_.HandleDemandAnswer(answer);
     }
     flow_.PumpAll();
     relay_.SetReader(fleet_.reader());
@@ -287,7 +287,7 @@
     FinishDrain();
     return;
   }
-  quarantine_.RunTick(/*is_owner=*/false, /*hears_owner=*/false);
+  quarantine_.RunTick(/*is_owner=*/false, /*is_owner_reachable=*/false);
   groups_.RunTick();
   flow_.RunTick();
   gossip_.RunTick();
--- a/node/node.h
+++ b/node/node.h
@@ -7,11 +7,11 @@
 #include "node/fleet_keeper.h"
 #include "node/gossip.h"
 #include "node/group_keeper.h"
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 #include "node/log_writer.h"
 #include "node/node_context.h"
-#include "node/quarantine_keeper.h"
-#include "node/quota_keeper.h"
+#include "node/quarantine_manager.h"
+#include "node/quota_manager.h"
 #include "node/request_flow.h"
 #include "node/store_relay.h"
 
@@ -55,10 +55,10 @@
   const StoreRelay& relay() const { return relay_; }
 
  private:
-  void On(const RequestArrived& event) { flow_.Arrive(event); }
-  void On(const CallerGone& event) { flow_.CallerLeft(event); }
-  void On(const AttemptStarted& event) { flow_.Started(event); }
-  void On(const AttemptEnded& event) { flow_.Ended(event); }
+  void On(const RequestArrived& event) { flow_.HandleArrival(event); }
+  void On(const CallerGone& event) { flow_.HandleCallerDisconnected(event); }
+  void On(const AttemptStarted& event) { flow_.HandleAttemptStarted(event); }
+  void On(const AttemptEnded& event) { flow_.HandleAttemptEnded(event); }
   void On(const ServerProbed& event) { flow_.TakeProbe(event); }
   void On(const EngineAnswered& event);
   void On(const LogRead& event);
@@ -96,9 +96,9 @@
   LogWriter writer_;
   GroupKeeper groups_;
   Gossip gossip_;
-  QuarantineKeeper quarantine_;
-  QuotaKeeper quotas_;
-  LimitKeeper limits_;
+  QuarantineManager quarantine_;
+  QuotaManager quotas_;
+  LimitManager limits_;
   FleetKeeper fleet_;
   RequestFlow flow_;
   StoreRelay relay_;
