--- a/placement/fleet_planner.h
+++ b/placement/fleet_planner.h
@@ -19,15 +19,15 @@
 
 namespace applehall {
 
-// Decides what all listed engines load and unload, while this host holds the
-// lease for them.
+// Decides which models all listed engines load and unload while this host holds
+// the lease for them.
 //
-// For engines that carry out one model order at a time and count the orders
-// they accepted. Each order names the count it was decided on, so an order that
-// is carried out late, or twice, changes nothing once another one was
-// accepted: what the planner counts as held is never less than what the
-// engine holds. Memory is reserved before an order is sent and is free again
-// only when a report, asked for after the order ended, says so.
+// For engines that execute one model order at a time and count the orders they
+// accepted. Each order states the count on which it was decided, so an engine
+// refuses an order that arrives late or twice once it has accepted another:
+// the planner never counts less memory as used than the engine uses. Memory is
+// reserved before an order is sent and freed only when a report that was
+// requested after the order ended confirms it.
 class FleetPlanner {
  public:
   // `token` and `self` make order ids unique.
@@ -36,44 +36,47 @@
   // Both must outlive the planner. Not thread-safe.
   void SetCatalogue(const std::map<std::string, CatalogueEntry>* catalogue,
                     const std::map<std::string, EngineClass>* classes);
-  // Engines that are not listed any more are forgotten. Not thread-safe.
+  // Replaces the listing; engines missing from it are removed. Not thread-safe.
   void SetServers(const EngineList& servers, TimePoint now);
-  // Requests a second that engines take which limit themselves. Such an engine
-  // counts as a part of a replica. Not thread-safe.
+  // Sets the requests per second that engines with a rate limit accept. Such an
+  // engine counts as a fraction of a replica. Not thread-safe.
   void SetLimits(std::map<std::string, double> limits) {
     limits_ = std::move(limits);
   }
-  // What one host has waiting and running. Not thread-safe.
+  // Handles one host's report of waiting and running requests. Not thread-safe.
   void TakeReport(const HostReport& report, TimePoint now);
-  // An engine's report, and its answer to an order. Not thread-safe.
-  void TakeInventory(const Inventory& inventory, TimePoint asked_at,
+  // Handles an engine's report. Not thread-safe.
+  void TakeInventory(const Inventory& inventory, TimePoint requested_at,
                      TimePoint now);
+  // Handles an engine's answer to an order. Not thread-safe.
   void TakeOrderResult(const std::string& engine, const std::string& order_id,
                        OrderResult result, TimePoint now);
-  // Emits the reports that are due and, if `may_order`, the orders decided
-  // now. Not thread-safe.
+  // Appends due report requests and, if `may_order`, new orders to `orders`.
+  // Not thread-safe.
   void Decide(bool may_order, TimePoint now, std::vector<OrderToSend>& orders);
 
-  // How a demand for `target` stands. Not thread-safe.
+  // Returns the status of demand for `target`. Not thread-safe.
   DemandAnswer Answer(const std::string& target, TimePoint now) const;
-  // What requests may be sent to `engine` for; its version grows with each
-  // change. Not thread-safe.
-  std::vector<std::string> ReadyOn(const std::string& engine) const;
-  uint64_t VersionOf(const std::string& engine) const;
-  // Requests of all hosts under way at `engine`, as far as reported.
-  int RequestsAt(const std::string& engine) const {
-    return usage_.RunningAt(engine);
+  // Targets that `engine` can serve, and the version of its state, which grows
+  // with each change; zero if unknown. Not thread-safe.
+  std::vector<std::string> ReadyTargetsOf(const std::string& engine) const;
+  uint64_t StateVersion(const std::string& engine) const;
+  // Requests of all hosts in progress on `engine`, as far as reported.
+  int RunningRequestCount(const std::string& engine) const {
+    return usage_.RunningOnEngine(engine);
   }
-  // Requests a second for what `engine` holds, its share where others hold it
-  // too. Not thread-safe.
-  double ArrivalsAt(const std::string& engine, TimePoint now) const;
-  // An engine has seen a higher token than this planner's.
+  // Requests per second for the targets that are ready on `engine`; of targets
+  // with several replicas, this engine's share. Not thread-safe.
+  double ArrivalRate(const std::string& engine, TimePoint now) const;
+  // True if an engine has seen a higher token than this planner's.
   bool is_superseded() const { return is_superseded_; }
-  // No order awaits its answer.
-  bool IsQuiet() const;
+  // True if no order awaits its answer.
+  bool IsIdle() const;
   FencingToken token() const { return token_; }
-  // Takes what happened since the last call. Not thread-safe.
-  std::vector<PlacementNote> TakeNotes() { return std::exchange(notes_, {}); }
+  // Returns and clears the events since the last call. Not thread-safe.
+  std::vector<PlacementEvent> TakeEvents() {
+    return std::exchange(events_, {});
+  }
   Json ToJson(TimePoint now) const;
 
  private:
@@ -82,7 +85,7 @@
     State state = State::kReady;
     std::string base;
     uint64_t bytes = 0;
-    TimePoint since;  // Of the state.
+    TimePoint since;  // Time of the last change of state.
   };
   struct OpenOrder {
     std::string id;
@@ -95,40 +98,40 @@
     bool is_unanswered = false;
     int store_loads_at_start = 0;
   };
-  // One line of an engine's part in the index of holdings.
+  // One of an engine's entries in the index of holdings.
   struct IndexedName {
     std::string name;
-    bool is_copy = false;  // Outside accelerator memory; else it is held.
+    bool is_copy = false;  // In host memory or on disk, not a holding.
     State state = State::kReady;
   };
   struct Engine {
     ListedServer listed;
-    bool is_known = false;      // Its count of orders and its holdings are.
-    bool is_rejecting = false;  // It is not the incarnation that is listed.
+    bool is_known = false;      // Order count and holdings are up to date.
+    bool is_rejecting = false;  // Not the listed incarnation.
     uint64_t accepted_orders = 0;
     std::map<std::string, Holding> holdings;
     std::optional<OpenOrder> model_order;
-    // The one call that awaits its answer, of either kind of order.
+    // The single call, for a model or an adapter, that awaits its answer.
     std::optional<OpenOrder> call;
-    TimePoint report_at;       // When to ask for the next report.
-    TimePoint report_sent_at;  // Of the report under way; epoch if none.
-    // The first question since the last answer; epoch if none is open.
+    TimePoint next_report_at;  // When to request the next report.
+    TimePoint report_sent_at;  // Of the open report request; else epoch.
+    // Send time of the first request since the last answer; epoch if none.
     TimePoint unanswered_since;
-    bool is_silent = false;  // It has not answered for too long.
+    bool is_unresponsive = false;  // No answer for kUnresponsiveAfter.
     std::string reserved_for;
     TimePoint reserved_until;
-    bool is_making_room = false;  // Something is unloaded for `reserved_for`.
-    // The accepted unload that the load under way was sent after, until the
-    // engine's answer shows that it is done.
+    bool is_evicting = false;  // Unloads a model for `reserved_for`.
+    // The accepted unload that the open load was sent after, until the engine's
+    // answer to the load confirms that it is done.
     std::optional<OpenOrder> unload_before;
     int refused_loads = 0;  // Since that unload was accepted.
-    TimePoint load_again_at;
+    TimePoint load_retry_at;
     uint64_t version = 1;
-    // What `index_` says of this engine, to be taken back when it changes.
+    // This engine's entries in `index_`, removed when the engine changes.
     std::vector<IndexedName> indexed;
     bool is_index_stale = true;
   };
-  // A way to bring a model onto one engine.
+  // A way to load a model onto one engine.
   struct Option {
     Engine* engine = nullptr;
     CheckpointTier tier = CheckpointTier::kRemote;
@@ -137,13 +140,13 @@
     Duration ready_in{0};
   };
 
-  const CatalogueEntry* EntryOf(const std::string& name) const;
-  const EngineClass* ClassOf(const Engine& engine) const;
+  const CatalogueEntry* FindEntry(const std::string& name) const;
+  const EngineClass* FindClass(const Engine& engine) const;
   uint64_t UsedBytes(const Engine& engine) const;
   CheckpointTier TierOn(const Engine& engine, const std::string& model) const;
   Duration LoadTime(const CatalogueEntry& entry, CheckpointTier tier) const;
-  // Where a model or adapter is, over all engines that stay.
-  struct Whereabouts {
+  // The engines that hold a model or adapter, without those that are leaving.
+  struct Locations {
     int ready = 0;
     int loading = 0;
     std::vector<std::string> holders;  // In any state.
@@ -152,54 +155,55 @@
   void IndexHoldings();
   void Index(const std::string& id, Engine& engine);
   void Unindex(const std::string& id, Engine& engine);
-  void MarkStale(Engine& engine);
-  const Whereabouts& WhereIs(const std::string& name) const;
+  void MarkIndexStale(Engine& engine);
+  const Locations& Locate(const std::string& name) const;
   int StoreLoads() const;
 
-  void Changed(Engine& engine);
-  void StartAnew(Engine& engine);
+  void RecordChange(Engine& engine);
+  void ResetEngine(Engine& engine);
   void SumUsage(TimePoint now);
   double BlockedAdapterLoss(const Engine& engine, Duration duration) const;
-  double LossOf(const Engine& engine, const std::string& model,
-                TimePoint now) const;
+  double EvictionLoss(const Engine& engine, const std::string& model,
+                      TimePoint now) const;
   std::vector<std::string> ChooseVictims(const Engine& engine, uint64_t needed,
                                          TimePoint now) const;
-  // The best way found so far, and what stood nearest to one where none is.
+  // The best option found so far; without one, the highest reason against it.
   struct Search {
     std::optional<Option> best;
-    PutOff put_off = PutOff::kNoEngine;
+    Deferral deferral = Deferral::kNoEngine;
 
-    void Reject(PutOff reason) { put_off = std::max(put_off, reason); }
+    void Reject(Deferral reason) { deferral = std::max(deferral, reason); }
   };
-  std::optional<Option> OptionOn(Engine& engine, const CatalogueEntry& entry,
-                                 double worth, bool is_background,
-                                 TimePoint now, Search& search);
-  Search BestOption(const CatalogueEntry& entry, double worth,
-                    bool at_once_only, TimePoint now);
+  std::optional<Option> MakeOption(Engine& engine, const CatalogueEntry& entry,
+                                   double worth, bool is_background,
+                                   TimePoint now, Search& search);
+  Search FindOption(const CatalogueEntry& entry, double worth,
+                    bool only_if_idle, TimePoint now);
   void TryEngine(Engine& engine, const CatalogueEntry& entry, double worth,
-                 bool at_once_only, TimePoint now, Search& search);
-  bool HasStoreRoom(const std::string& service, TimePoint now) const;
-  Engine* EngineMakingRoom(const std::string& model, TimePoint now);
-  bool MayLoadAfterUnload(const Engine& engine, const CatalogueEntry& entry,
-                          TimePoint now) const;
-  void EndUnload(Engine& engine, const OpenOrder& unload, TimePoint now);
-  bool TakeRefusedLoad(Engine& engine, const OpenOrder& call,
-                       OrderResult result, TimePoint now);
-  // What stands in the way; kNone if an order was given.
-  PutOff PlaceModel(const CatalogueEntry& entry, double worth,
-                    const std::string& reason, bool at_once_only, TimePoint now,
-                    std::vector<OrderToSend>& orders);
+                 bool only_if_idle, TimePoint now, Search& search);
+  bool HasStoreCapacity(const std::string& service, TimePoint now) const;
+  Engine* FindEvictingEngine(const std::string& model, TimePoint now);
+  bool MayFollowUnload(const Engine& engine, const CatalogueEntry& entry,
+                       TimePoint now) const;
+  void FinishUnload(Engine& engine, const OpenOrder& unload, TimePoint now);
+  bool HandleRefusedLoad(Engine& engine, const OpenOrder& call,
+                         OrderResult result, TimePoint now);
+  // Returns why no order was sent; kNone if one was.
+  Deferral PlaceModel(const CatalogueEntry& entry, double worth,
+                      const std::string& reason, bool only_if_idle,
+                      TimePoint now, std::vector<OrderToSend>& orders);
   void PlaceAdapter(const CatalogueEntry& entry, double worth, TimePoint now,
                     std::vector<OrderToSend>& orders);
-  bool MakeAdapterRoom(Engine& engine, TimePoint now,
-                       std::vector<OrderToSend>& orders);
-  static int AdapterSlotsTaken(const Engine& engine);
-  void NotePutOff(const std::string& target, PutOff reason);
+  bool EvictAdapter(Engine& engine, TimePoint now,
+                    std::vector<OrderToSend>& orders);
+  static int UsedAdapterSlots(const Engine& engine);
+  void RecordDeferral(const std::string& target, Deferral reason);
   void ServeWaiting(TimePoint now, std::vector<OrderToSend>& orders);
-  // How many replicas an engine is worth: one, or less if it limits itself.
-  double ShareOf(const std::string& engine) const;
-  // How many the engines are worth that are ready for `name`.
-  double CapacityFor(const std::string& name, const Whereabouts& where) const;
+  // Capacity of an engine in replicas: one, or less if it has a rate limit.
+  double ReplicaShare(const std::string& engine) const;
+  // Capacity in replicas of the engines on which `name` is ready.
+  double ReadyCapacity(const std::string& name,
+                       const Locations& locations) const;
   static double Unmet(double rate, double replicas);
   static int MissingReplicas(double rate, double replicas);
   void ReplicateBusy(bool is_overloaded, TimePoint now,
@@ -213,23 +217,23 @@
   void SendOrder(Engine& engine, OrderKind kind, const CatalogueEntry& entry,
                  CheckpointTier tier, const std::string& reason, TimePoint now,
                  std::vector<OrderToSend>& orders);
-  void GiveUpCalls(TimePoint now);
-  void NoteSilence(TimePoint now);
-  // Between reports of an engine that is carrying out a model order.
+  void ExpireCalls(TimePoint now);
+  void UpdateResponsiveness(TimePoint now);
+  // Interval between reports of an engine that is executing a model order.
   Duration LoadPoll() const;
-  TimePoint NextReport(const OpenOrder& order, TimePoint now) const;
-  void AskForReports(TimePoint now, std::vector<OrderToSend>& orders);
-  void Accept(Engine& engine, const OpenOrder& call);
-  void DropCall(Engine& engine, const OpenOrder& call, TimePoint now);
-  void EndModelOrder(Engine& engine, TimePoint now);
-  void Adopt(Engine& engine, const Inventory& inventory, TimePoint asked_at,
-             TimePoint now);
-  void DropAbsent(Engine& engine, const Inventory& inventory,
-                  TimePoint asked_at);
-  void LearnStoreWidth(const OpenOrder& order, TimePoint now);
-  void Note(std::string event, const std::string& engine,
-            const std::string& target, std::string reason,
-            Duration took = Duration{0});
+  TimePoint NextReportTime(const OpenOrder& order, TimePoint now) const;
+  void RequestReports(TimePoint now, std::vector<OrderToSend>& orders);
+  void ApplyAccepted(Engine& engine, const OpenOrder& call);
+  void RevertOrder(Engine& engine, const OpenOrder& call, TimePoint now);
+  void FinishModelOrder(Engine& engine, TimePoint now);
+  void AdoptReplicas(Engine& engine, const Inventory& inventory,
+                     TimePoint requested_at, TimePoint now);
+  void RemoveAbsent(Engine& engine, const Inventory& inventory,
+                    TimePoint requested_at);
+  void UpdateStoreWidth(const OpenOrder& order, TimePoint now);
+  void Record(std::string event, const std::string& engine,
+              const std::string& target, std::string reason,
+              Duration took = Duration{0});
 
   Incarnation self_;
   FencingToken token_;
@@ -237,26 +241,27 @@
   const std::map<std::string, CatalogueEntry>* catalogue_ = nullptr;
   const std::map<std::string, EngineClass>* classes_ = nullptr;
   std::map<std::string, Engine> engines_;
-  std::map<std::string, double> limits_;  // A second, by engine.
-  // Of all holdings and copies. Only what changed is indexed anew: with the
-  // whole index and all usage summed for each decision, one took 1.0 ms at 256
-  // engines in place of 0.08 (benchmark PlanFleet).
-  absl::flat_hash_map<std::string, Whereabouts> index_;
-  std::vector<std::string> stale_;  // Engines to be indexed anew.
-  // The engine that made room for a model last; to be checked when read.
-  absl::flat_hash_map<std::string, std::string> room_made_on_;
-  // Loads from the weight store under way; nothing if it must be counted.
+  std::map<std::string, double> limits_;  // Requests per second by engine.
+  // Index of all holdings and copies. Only changed engines are indexed again:
+  // rebuilding the index and summing all usage for each decision took 1.0 ms at
+  // 256 engines instead of 0.08 ms.
+  absl::flat_hash_map<std::string, Locations> index_;
+  std::vector<std::string> stale_engines_;  // Engines to index again.
+  // The engine that last evicted for a model. May be out of date: readers check
+  // the engine's own state.
+  absl::flat_hash_map<std::string, std::string> evicting_engines_;
+  // Cached number of open loads from the weight store; empty if stale.
   mutable std::optional<int> store_loads_;
-  // When a waiting target is looked at again, and when the store could bring
-  // one that no engine has at hand.
-  absl::flat_hash_map<std::string, TimePoint> next_look_;
-  absl::flat_hash_map<std::string, TimePoint> store_turn_;
-  // Why a waiting target was not ordered when it was last looked at.
-  absl::flat_hash_map<std::string, PutOff> put_off_;
-  TimePoint seeds_at_;
-  TimePoint fills_at_;
+  // When placement of a waiting target is tried again, and when the weight
+  // store can have delivered a target of which no engine has a copy.
+  absl::flat_hash_map<std::string, TimePoint> next_attempts_;
+  absl::flat_hash_map<std::string, TimePoint> store_ready_at_;
+  // Why no load of a waiting target was ordered at the last attempt.
+  absl::flat_hash_map<std::string, Deferral> deferrals_;
+  TimePoint next_seed_at_;
+  TimePoint next_fill_at_;
   UsageTable usage_;
-  // Of each model, with its adapters; summed anew for each decision.
+  // Usage of a model and its adapters; summed again at most each kSumInterval.
   struct Usage {
     double rate = 0;
     double worth_rate = 0;
@@ -268,11 +273,11 @@
   int open_model_orders_ = 0;  // At the last decision.
   uint64_t last_order_ = 0;
   uint64_t last_sequence_ = 0;
-  std::deque<TimePoint> store_loads_begun_;
+  std::deque<TimePoint> store_load_starts_;
   double store_width_;
-  bool is_store_width_known_ = false;  // A load was slowed by others.
+  bool is_store_width_known_ = false;  // A load was slowed by concurrent ones.
   bool is_superseded_ = false;
-  std::vector<PlacementNote> notes_;
+  std::vector<PlacementEvent> events_;
 };
 
 }  // namespace applehall
