--- a/node/messages.h
+++ b/node/messages.h
@@ -25,21 +25,22 @@
 
 namespace applehall {
 
-// ---- Events: what happens to a node. ----
+// ---- Events: inputs of a node. ----
 
-// A caller's request was read whole.
+// A caller's request was read completely.
 struct RequestArrived {
   RequestHandle handle = 0;
   std::string request_id;
   RequestFacts facts;
-  std::optional<Duration> deadline;  // The caller's; may only shorten.
+  // The caller's own limit; can only shorten the deadline of the rule.
+  std::optional<Duration> deadline;
   std::string idempotency_key;
-  uint64_t prefix_hash = 0;   // Of the prompt's start; zero for none.
-  uint64_t fingerprint = 0;   // Of its content; zero if that is not known.
-  bool is_forwarded = false;  // By another data centre's entry host.
-  // Of the API key that came with it, if one did.
+  uint64_t prefix_hash = 0;   // Of the start of the prompt; 0: no prompt.
+  uint64_t fingerprint = 0;   // Of the request content; 0: unknown.
+  bool is_forwarded = false;  // By an entry host of another data centre.
+  // Digest of the API key that the request carries, if any.
   std::optional<ApiKeyDigest> api_key;
-  // Tokens that it says it takes, if it does.
+  // Number of tokens that the request declares, if it does.
   std::optional<double> declared_tokens;
 };
 
@@ -48,19 +49,19 @@
   RequestHandle handle = 0;
 };
 
-// The first byte of an answer went to the caller.
+// The first byte of an answer was sent to the caller.
 struct AttemptStarted {
   RequestHandle handle = 0;
-  ReportedLimit limit = {};  // In the head of the answer.
+  ReportedLimit limit = {};  // From the headers of the answer.
 };
 
 enum class AttemptResult : uint8_t {
-  kCompleted,    // The whole answer is with the caller.
+  kCompleted,    // The caller has received the complete answer.
   kNotSent,      // Nothing reached the backend server.
-  kModelAbsent,  // It says that it does not hold the model; not run.
-  kFull,         // It says that it is full; not run.
-  kRefused,      // It says that it did not run it, for another reason.
-  kBroken,       // It failed after the request was sent.
+  kModelAbsent,  // Not run: the server reports that the model is not loaded.
+  kFull,         // Not run: the server reports that it is at capacity.
+  kRefused,      // Not run: the server reports another reason.
+  kBroken,       // The attempt failed after the request was sent.
 };
 
 constexpr const char* AttemptResultName(AttemptResult result) {
@@ -84,50 +85,52 @@
 // One attempt at a backend server ended.
 struct AttemptEnded {
   RequestHandle handle = 0;
-  int attempt = 0;  // Answers to earlier attempts are ignored.
+  int attempt = 0;  // Results of earlier attempts are ignored.
   AttemptResult result = AttemptResult::kBroken;
-  // Part of a stream is with the caller already.
+  // The caller has already received part of the stream.
   bool has_delivered = false;
-  // The engine can go on with the stream where it broke.
+  // The engine can resume the stream at the point where it broke.
   bool can_resume = false;
   std::string detail;
-  // Of a stream: the longest time between two pieces of it.
+  // Longest time between two consecutive chunks of a stream.
   Duration longest_pause{0};
-  // The server closed or reset the connection before its answer was whole, as
-  // one that ends does.
+  // The server closed or reset the connection before the answer was complete,
+  // as a process that exits or crashes does.
   bool is_cut = false;
-  // From the first piece of this attempt's answer to its end.
+  // Time from the first chunk of this attempt's answer to its end.
   Duration answered_for{0};
-  // In the head of the answer, if one came.
+  // From the headers of the answer, if one was received.
   ReportedLimit limit = {};
 };
 
 enum class ServerState : uint8_t { kUnknown, kListening, kGone };
 
-// The answer to ProbeServer.
+// Result of ProbeServer.
 struct ServerProbed {
   std::string server;
   ServerState state = ServerState::kUnknown;
 };
 
-// An engine answered an order with its inventory.
+// An engine returned its inventory in response to an order.
 struct EngineAnswered {
   Inventory inventory;
-  TimePoint asked_at;
+  TimePoint asked_at;  // When the order was sent.
 };
 
+// A read of a log stream returned a batch of records.
 struct LogRead {
   LogBatch batch;
 };
 
-// A read or append failed because the log service does not answer.
+// A read or append failed because the log service does not respond.
 struct LogFailed {};
 
 struct AppendEnded {
   std::string record_id;
-  bool is_appended = false;  // False: nobody knows, or certainly not.
+  bool is_appended = false;  // False: not appended, or the outcome is unknown.
 };
 
+// The platform returned a new host list.
 struct HostListRead {
   HostList list;
 };
@@ -139,79 +142,82 @@
 
 struct CatalogueRead {
   Catalogue catalogue;
-  // By service, where engines of different services differ.
+  // By service, for deployments where engines differ between services.
   std::map<std::string, EngineClass> engine_classes = {};
 };
 
-// The newest rule set, where the platform itself keeps it.
+// The newest rule set, for deployments where the platform stores it.
 struct RuleSetRead {
   LogOffset version = 0;
   Json document;
-  // The teams of the same version; null where there are none.
+  // The teams of the same version; null if none are configured.
   std::shared_ptr<const TeamBook> teams = nullptr;
 };
 
-// News of the listed backend servers.
+// The platform's listing of backend servers changed or was read completely.
 struct ServersListed {
-  bool is_whole = false;  // `listed` are all there are.
+  bool is_whole = false;  // `listed` is the complete listing.
   std::vector<ListedServer> listed;
-  std::vector<std::string> gone;
-  // Their entries cannot be read or make no sense: nothing is sent there.
+  std::vector<std::string> gone;  // No longer listed.
+  // Servers whose entries are malformed or invalid; they receive no requests.
   std::vector<std::string> unusable = {};
 };
 
-// The platform's store answered.
+// A call to the platform's store succeeded.
 struct StoreReached {};
 
-// A question to the store about one topic was answered, or another host's news
-// of it were taken over.
+// A read of one topic of the store returned, or updates of it that another host
+// relayed were applied.
 struct StoreNewsRead {
   std::string topic = {};
   LogOffset from = 0;
   LogOffset next = 0;        // The first offset that is not in `records`.
-  std::string records = {};  // As they stand in the store; may be empty.
-  // The record before `next`, if this is known from the answer.
+  std::string records = {};  // Encoded as in the store; may be empty.
+  // The record before `next`, if the answer contains it.
   std::string last_record = {};
-  // All records up to `next` were there at this time, and no others: proven by
-  // this host's own question. The epoch: by none.
+  // The topic consisted of exactly the records before `next` at this time, as
+  // shown by this host's own read. The epoch: no own read shows it.
   TimePoint as_of = {};
 };
 
-// The answer to ReadLease.
+// Result of ReadLease.
 struct LeaseRead {
   bool is_answered = false;
-  std::optional<LeaseRecord> record;  // Nothing: never claimed.
+  std::optional<LeaseRecord> record;  // Empty: the lease was never claimed.
   FencingToken token = 0;             // Of the record.
-  LogOffset end = 0;   // Where the next record of the lease must stand.
-  TimePoint asked_at;  // Of the question; the record stood then or later.
+  LogOffset end = 0;  // Offset at which the next lease record must be appended.
+  // When the read was sent; the record was the newest then or later.
+  TimePoint asked_at;
 };
 
-// The answer to AppendLease, or that there was none: the record may stand.
+// Result of AppendLease. `is_appended` is also false if there was no answer;
+// the record may have been appended all the same.
 struct LeaseAppendEnded {
   bool is_appended = false;
 };
 
-// An engine's answer to an order that brings no inventory.
+// An engine's response to an order, without an inventory.
 struct OrderAnswered {
   std::string engine;
   std::string order_id;
   OrderResult result = OrderResult::kUnanswered;
 };
 
-// Requests of this content are sent to no server until then; the epoch: any
-// more.
+// Requests with this content are not sent to any server until `until`; the
+// epoch lifts the quarantine.
 struct QuarantineRecord {
   uint64_t fingerprint = 0;
   TimePoint until;
 };
 
-// The answer to ReadQuarantine.
+// Result of ReadQuarantine.
 struct QuarantineRead {
   bool is_answered = false;
   std::vector<QuarantineRecord> records;
 };
 
-// The answer to AppendQuarantine, or that there was none.
+// Result of AppendQuarantine; `is_appended` is also false if there was no
+// answer.
 struct QuarantineAppendEnded {
   QuarantineRecord record;
   bool is_appended = false;
@@ -224,7 +230,7 @@
 
 struct DrainRequested {};
 
-// Time passed; sent at least every kTickInterval.
+// Drives timers; sent at least every kTickInterval.
 struct Tick {};
 
 using Event =
@@ -235,7 +241,7 @@
                  LeaseRead, LeaseAppendEnded, OrderAnswered, StoreNewsRead,
                  ServerProbed, QuarantineRead, QuarantineAppendEnded>;
 
-// ---- Actions: what a node wants done. ----
+// ---- Actions: outputs of a node, carried out by its driver. ----
 
 enum class BackendKind : uint8_t { kEngine, kService, kEntryHost };
 
@@ -245,21 +251,21 @@
   BackendKind kind = BackendKind::kEngine;
   std::string backend;
   std::string address;
-  std::string model;  // What the engine is asked for; empty for services.
-  std::string rule;   // "VERSION/NAME", for the answer's header.
+  std::string model;  // The model to run; empty for services.
+  std::string rule;   // "VERSION/NAME", for a header of the answer.
   bool is_background = false;
-  bool has_retries = false;  // Another attempt may follow a failure.
-  int priority = -1;         // At the engine, 0 first; negative: none.
+  bool has_retries = false;  // A failed attempt may be retried.
+  int priority = -1;         // At the engine, 0 is highest; negative: none.
   bool is_repeatable = true;
-  bool resume = false;      // Go on with the stream of the last attempt.
+  bool resume = false;      // Resume the stream of the previous attempt.
   bool is_claimed = false;  // The receiver must not claim the key again.
   TimePoint deadline;
-  // The caller's team, empty for none; nothing where no teams are configured
-  // and what callers say of themselves is passed on.
+  // The caller's team, empty for none. Unset if no teams are configured; what
+  // the caller states about itself is then passed on.
   std::optional<std::string> team;
 };
 
-// How the attempt that `sent` began has ended.
+// Returns the end of the attempt that `sent` started.
 inline AttemptEnded EndOf(const DispatchRequest& sent, AttemptResult result,
                           std::string detail) {
   AttemptEnded ended;
@@ -270,7 +276,8 @@
   return ended;
 }
 
-// Its connection failed after the request was sent.
+// Returns the end of an attempt whose connection failed after the request was
+// sent.
 inline AttemptEnded BrokenOff(const DispatchRequest& sent, std::string detail,
                               bool is_cut) {
   AttemptEnded ended = EndOf(sent, AttemptResult::kBroken, std::move(detail));
@@ -283,7 +290,7 @@
   int attempt = 0;
 };
 
-// The one final answer of a request that no backend server answered.
+// Final answer to a request that no backend server answered; sent once.
 struct RefuseRequest {
   RequestHandle handle = 0;
   std::string rule;
@@ -294,7 +301,7 @@
   std::string engine;
   std::string address;
   EngineOrder order;
-  std::string service = {};  // The engine's, where that is known.
+  std::string service = {};  // Of the engine, if known.
 };
 
 struct AppendRecord {
@@ -309,7 +316,7 @@
   PeerMessage message;
 };
 
-// The same message to many hosts; it is encoded once.
+// Sends one message to many hosts; it is encoded once.
 struct SendPeers {
   std::vector<PeerAddress> peers;
   PeerMessage message;
@@ -317,31 +324,32 @@
 
 // Reads the newest record of the placement lease.
 struct ReadLease {
-  TimePoint asked_at;  // Comes back with the answer.
+  TimePoint asked_at;  // Copied into the result.
 };
 
-// Appends a record of the lease, if it would stand at `end`.
+// Appends a record of the lease on condition that its offset is `end`.
 struct AppendLease {
   LeaseRecord record;
   LogOffset end = 0;
 };
 
-// Reads the contents that are under quarantine from the store.
+// Reads the quarantined contents from the store.
 struct ReadQuarantine {};
 
-// Records a content in the store, or that it is free again.
+// Records in the store that a content is quarantined or released.
 struct AppendQuarantine {
   QuarantineRecord record;
 };
 
-// Whether this host asks the store for news itself.
+// Starts or stops this host's own reads of the store.
 struct FollowStore {
   bool is_reading = true;
-  // As of when all topics are known here, by whomever.
+  // Time up to which this host has all records of all topics, from its own
+  // reads or relayed.
   TimePoint as_of;
 };
 
-// News of the store that another host has read.
+// Applies updates of the store that another host has read and relayed.
 struct TakeStoreNews {
   std::string topic;
   LogOffset from = 0;
@@ -349,13 +357,14 @@
   std::string records;
 };
 
-// Finds out whether a backend server still listens at its address.
+// Checks whether a backend server still listens at its address.
 struct ProbeServer {
   std::string server;
   std::string address;
 };
 
-// Every request is answered and every ownership released: the process may go.
+// All requests are answered and all ownership is released; the process may
+// exit.
 struct Drained {};
 
 using Action =
--- a/node/news_budget.h
+++ b/node/news_budget.h
@@ -5,36 +5,38 @@
 
 namespace applehall {
 
-// The time within which a confirmed change must be in force at each host,
-// divided over what stands between the store and the host.
+// Divides the time within which an acknowledged change must be in force at each
+// host among the steps between the store and the host.
 //
-// As of when a host knows a topic is proven by an answer about that topic only,
-// its own or a reader's. A change is in force in time if these sums stay within
-// the bound (docs/design/news.md):
+// The freshness of a topic at a host is proven only by an answer about that
+// topic, its own or a reader's. A change is in force in time if these sums stay
+// within the bound (docs/design/news.md):
 //
-//   the reader is lost:   trust + read_timeout + retry_pause + apply <= bound
-//   own read hangs:       renewal + read_timeout + retry_pause + apply <= bound
-//   nothing fails:        renewal + beat + transit <= trust
+//   reader lost:      trust + read_timeout + retry_pause + apply <= bound
+//   own read hangs:   renewal + read_timeout + retry_pause + apply <= bound
+//   normal operation: renewal + beat + transit <= trust
 struct NewsBudget {
   Duration bound;
-  // A host that reads the store proves each topic anew this often.
+  // Interval at which a host that reads the store renews the freshness of each
+  // topic.
   Duration renewal;
-  // Readers tell their followers how recent their proofs are this often, and
-  // followers ask for it.
+  // Interval at which readers report the freshness of their topics to their
+  // followers, and at which followers request it.
   Duration beat;
-  // How long such a message may be under way without a follower's own read.
+  // Maximum transit time of such a message before a follower starts to read for
+  // itself.
   Duration transit;
-  // A follower reads for itself where a proof is older.
+  // A follower whose topics are staler than this reads the store itself.
   Duration trust;
-  // A read of the store, beyond its wait for news.
+  // Timeout of a read of the store, in addition to its wait for updates.
   Duration read_timeout;
-  // After a first failed read; doubled with each further one.
+  // Backoff after the first failed read; doubled with each further failure.
   Duration retry_pause;
-  // Of the last read, and of what it takes to put its news in force.
+  // Time to receive the last read's answer and to put its updates in force.
   Duration apply;
 
-  // A host whose proof is older cannot say that there is no such route or key,
-  // as one may have been added in time; the next answer of the store tells.
+  // A host whose topics are staler than this cannot rule out that a route or
+  // key it does not find was added in time; the store's next answer decides.
   constexpr Duration most_age() const { return trust + read_timeout; }
 
   // Requires: `bound` is positive. Thread-safe.
--- a/node/node.cc
+++ b/node/node.cc
@@ -12,7 +12,7 @@
 
 constexpr int kDefaultServiceSlots = 64;
 
-Demand DemandFrom(const std::string& host, const Json& body) {
+Demand ParseDemand(const std::string& host, const Json& body) {
   Demand demand;
   demand.target = FieldOr<std::string>(body, "target", "");
   demand.host = host;
@@ -31,7 +31,7 @@
               {"expected_ms", ToMillis(answer.expected)}};
 }
 
-DemandAnswer DemandAnswerFrom(const Json& body) {
+DemandAnswer ParseDemandAnswer(const Json& body) {
   DemandAnswer answer;
   answer.target = FieldOr<std::string>(body, "target", "");
   answer.group = FieldOr<std::string>(body, "group", "");
@@ -67,7 +67,7 @@
     context_.started_at = now;
     context_.log_answered_at = now;
   }
-  std::visit([this](const auto& e) { On(e); }, event);
+  std::visit([this](const auto& e) { HandleEvent(e); }, event);
   if (IsFleet()) flow_.RunPermits();
   context_.actions = nullptr;
 }
@@ -83,7 +83,7 @@
          (flow_.has_read_claims() || context_.IsLogDown());
 }
 
-void Node::On(const EngineAnswered& event) {
+void Node::HandleEvent(const EngineAnswered& event) {
   if (IsFleet()) {
     fleet_.TakeInventory(event.inventory, event.asked_at);
     return;
@@ -92,7 +92,7 @@
   flow_.PumpAll();
 }
 
-void Node::On(const LogRead& event) {
+void Node::HandleEvent(const LogRead& event) {
   context_.log_answered_at = context_.now;
   context_.log_failed = false;
   if (event.batch.stream == kClaimsStream) {
@@ -100,24 +100,24 @@
     return;
   }
   context_.control.Apply(event.batch);
-  ControlChanged();
+  ApplyControlChange();
 }
 
-void Node::On(const LogFailed&) {
+void Node::HandleEvent(const LogFailed&) {
   if (!context_.log_failed) LogEvent(LogLevel::kWarning, "store_lost");
   context_.log_failed = true;
   context_.log_failed_at = context_.now;
 }
 
-// Guards against an answer that lay unread while this process was starved of
-// processor: others follow this host's word on how recent its news are. All
-// that had come by the last tick was taken in then, so an answer that is taken
-// in now was written after it, and nothing later is proven.
-void Node::On(const StoreReached&) {
+// Guards against an answer that stayed unread while this process got no
+// processor time: other hosts rely on the freshness that this host reports. The
+// last tick had handled everything received by then, so this answer was written
+// after it; a later time is not proven.
+void Node::HandleEvent(const StoreReached&) {
   context_.NoteLogAnswer(last_tick_ == TimePoint{} ? context_.now : last_tick_);
 }
 
-void Node::On(const RuleSetRead& event) {
+void Node::HandleEvent(const RuleSetRead& event) {
   const bool is_newer = event.version > context_.control.rules().version();
   const absl::Status status =
       context_.control.InstallRules(event.version, event.document);
@@ -131,22 +131,22 @@
         .With("reason", std::string(status.message()));
     return;
   }
-  ControlChanged();
+  ApplyControlChange();
 }
 
-void Node::On(const ServersListed& event) {
+void Node::HandleEvent(const ServersListed& event) {
   fleet_.TakeServers(event);
   flow_.PumpAll();
 }
 
-void Node::On(const AppendEnded& event) {
+void Node::HandleEvent(const AppendEnded& event) {
   writer_.Ended(event.record_id);
   if (event.is_appended) return;
   context_.metrics.Count("log_appends_unanswered_total");
   flow_.ClaimAppendFailed(event.record_id);
 }
 
-void Node::On(const HostListRead& event) {
+void Node::HandleEvent(const HostListRead& event) {
   if (!context_.hosts.Update(event.list)) return;
   for (const EngineDigest* digest : context_.view.All()) {
     const HostEntry* entry = context_.hosts.Find(digest->engine);
@@ -165,8 +165,8 @@
   groups_.Reconcile();
 }
 
-// Plain services need no loading; each is an "engine" that is always ready
-// for its own service. Those of this data centre go before all others.
+// Plain services need no loading; each is represented by an engine that is
+// always ready for its own service. Services of this data centre are preferred.
 void Node::UpdateServices() {
   std::map<std::string, bool> has_local;
   for (const auto& [name, entry] : context_.hosts.hosts()) {
@@ -194,7 +194,7 @@
   }
 }
 
-void Node::On(const CatalogueRead& event) {
+void Node::HandleEvent(const CatalogueRead& event) {
   if (event.catalogue.empty()) return;
   context_.catalogue.clear();
   for (const CatalogueEntry& entry : event.catalogue) {
@@ -204,7 +204,7 @@
   fleet_.CatalogueChanged();
 }
 
-void Node::On(const PeerMessageReceived& event) {
+void Node::HandleEvent(const PeerMessageReceived& event) {
   const Json& body = event.message.body;
   switch (event.message.type) {
     case PeerMessageType::kGossip:
@@ -212,12 +212,12 @@
       flow_.PumpAll();
       return;
     case PeerMessageType::kControl:
-      if (gossip_.TakeControl(body)) ControlChanged();
+      if (gossip_.TakeControl(body)) ApplyControlChange();
       return;
     case PeerMessageType::kDemand: {
       const auto answer =
           groups_.TakeDemand(FieldOr<std::string>(body, "group", ""),
-                             DemandFrom(event.host, body));
+                             ParseDemand(event.host, body));
       if (answer) {
         context_.Send(event.host, PeerMessageType::kDemandAnswer,
                       DemandAnswerJson(*answer));
@@ -225,7 +225,7 @@
       return;
     }
     case PeerMessageType::kDemandAnswer:
-      flow_.TakeDemandAnswer(DemandAnswerFrom(body));
+      flow_.TakeDemandAnswer(ParseDemandAnswer(body));
       return;
     case PeerMessageType::kStoreBorrow:
       groups_.TakeStoreBorrow(event.host, body);
@@ -243,11 +243,11 @@
       flow_.PumpAll();
       return;
     case PeerMessageType::kStoreFollow:
-      relay_.TakeFollow(event.host, body);
+      relay_.HandleFollow(event.host, body);
       return;
     case PeerMessageType::kStoreNews:
-      relay_.TakeRelayed(event.host, body);
-      fleet_.NoteOwner(StoreRelay::OwnerIn(body));
+      relay_.HandleRelayedUpdates(event.host, body);
+      fleet_.NoteOwner(StoreRelay::ParseOwner(body));
       return;
     case PeerMessageType::kQuotaUsage:
       quotas_.TakeCentreUsage(event.host, body);
@@ -264,7 +264,7 @@
   }
 }
 
-void Node::On(const DrainRequested&) {
+void Node::HandleEvent(const DrainRequested&) {
   if (context_.is_draining) return;
   context_.is_draining = true;
   context_.drain_began = context_.now;
@@ -272,7 +272,7 @@
       .With("open_requests", flow_.open_requests());
 }
 
-void Node::On(const Tick&) {
+void Node::HandleEvent(const Tick&) {
   last_tick_ = context_.now;
   if (IsFleet()) {
     flow_.RunTick();
@@ -291,11 +291,11 @@
   groups_.RunTick();
   flow_.RunTick();
   gossip_.RunTick();
-  CarryForward();
+  RenewSnapshot();
   FinishDrain();
 }
 
-void Node::ControlChanged() {
+void Node::ApplyControlChange() {
   const auto rules = context_.control.rules().current();
   if (rules && rules->version != bounds_version_) {
     bounds_version_ = rules->version;
@@ -312,39 +312,39 @@
   groups_.Reconcile();
 }
 
-// The log keeps records for a limited time. One host of a data centre writes
-// the state again before its last record expires; the snapshot says up to
-// where its writer had read, so it cannot undo what came after.
-void Node::CarryForward() {
+// The log retains records for a limited time. One host of a data centre writes
+// the control state again before its last record expires. The snapshot contains
+// the offset up to which its writer had read, so it cannot undo later records.
+void Node::RenewSnapshot() {
   if (!gossip_.IsControlReader() || context_.IsLogDown()) return;
   if (!context_.control.is_based() || context_.control.next_offset() <= 1) {
     return;
   }
   const Duration after = context_.settings.carry_after;
-  // Hosts start their clocks apart, so that mostly one of them writes.
+  // Staggers the hosts so that usually only one of them writes.
   const Duration stagger =
       after / 10 * (StableHash(context_.settings.self.host) % 8) / 8;
   const TimePoint last =
       std::max({context_.control.last_snapshot_at(),
-                context_.control.first_record_at(), carried_at_});
+                context_.control.first_record_at(), snapshot_renewed_at_});
   if (context_.now - last < after + stagger) return;
-  carried_at_ = context_.now;
+  snapshot_renewed_at_ = context_.now;
   writer_.Append("snapshot", context_.control.Snapshot());
 }
 
 void Node::FinishDrain() {
   if (!context_.is_draining || is_drained_) return;
   const Duration took = context_.now - context_.drain_began;
-  const bool is_over = took >= context_.settings.drain_bound;
+  const bool is_expired = took >= context_.settings.drain_bound;
   if (IsFleet()) {
     const Duration bound = context_.settings.drain_bound;
-    if (took >= bound * 2 / 3) flow_.RefuseOpen(/*with_sent=*/is_over);
+    if (took >= bound * 2 / 3) flow_.RefuseOpen(/*with_sent=*/is_expired);
   }
   const bool is_released =
       IsFleet() ? fleet_.IsReleased() : !groups_.HoldsAny();
   const bool is_done = flow_.open_requests() == 0 && is_released &&
                        took >= context_.settings.drain_least;
-  if (!is_done && !is_over) return;
+  if (!is_done && !is_expired) return;
   is_drained_ = true;
   LogEvent(is_done ? LogLevel::kInfo : LogLevel::kWarning, "drain_end")
       .With("open_requests", flow_.open_requests())
@@ -391,7 +391,7 @@
                                        {"leaving", entry.is_leaving}};
   }
   json["catalogue_size"] = context_.catalogue.size();
-  // What this host does not know yet, said plainly.
+  // State that this host has not received yet.
   json["unknown"] = Json::array();
   if (!rules) json["unknown"].push_back("rule set");
   if (!context_.control.is_based()) json["unknown"].push_back("control state");
--- a/node/node.h
+++ b/node/node.h
@@ -17,33 +17,35 @@
 
 namespace applehall {
 
-// One applehall process without its I/O: events and the time go in, actions
-// come out, the same ones for the same input. Daemons drive one with sockets;
-// tests and measurements drive many with fakes under a paused clock.
+// The logic of one applehall process without its I/O: turns events and the time
+// into actions, deterministically. Daemons drive one node with sockets; tests
+// and measurements drive many with fakes under a paused clock.
 class Node {
  public:
   explicit Node(NodeSettings settings);
 
   // ---- Commands ----
 
-  // Takes one event at time `now` and appends what must be done to `actions`.
-  // Requires: `now` never goes back. Not thread-safe.
+  // Handles one event at time `now` and appends the resulting actions to
+  // `actions`. Requires: `now` never decreases. Not thread-safe.
   void Handle(const Event& event, TimePoint now, std::vector<Action>& actions);
 
   // ---- Queries ----
 
-  // True when callers may be sent here: a rule set is in force, the hosts are
-  // known, the claims were read if the log can be, and no drain has begun. Not
-  // thread-safe.
+  // Returns whether callers may be routed here: a rule set is in force, the
+  // hosts are known, the claims were read unless the log is unavailable, and no
+  // drain has begun. Not thread-safe.
   bool IsReady() const;
-  // Whether the control stream should be read from the log by this host.
+  // Returns whether this host should read the control stream from the log.
   bool WantsControlReads() const { return gossip_.IsControlReader(); }
-  // Where reads of the two streams go on. Not thread-safe.
-  LogOffset control_offset() const { return context_.control.next_offset(); }
-  // Every table, queue, ownership, reservation, budget and offset. Not
+  // Returns the offset at which the next read of the control stream starts. Not
   // thread-safe.
+  LogOffset control_offset() const { return context_.control.next_offset(); }
+  // Returns all tables, queues, ownership, reservations, budgets and offsets.
+  // Not thread-safe.
   Json StateDump() const;
-  // Recent decisions, of one request if `request_id` is not empty.
+  // Returns recent decisions; only those of one request if `request_id` is not
+  // empty. Not thread-safe.
   Json Decisions(const std::string& request_id) const {
     return context_.decisions.ToJson(request_id);
   }
@@ -55,41 +57,47 @@
   const StoreRelay& relay() const { return relay_; }
 
  private:
-  void On(const RequestArrived& event) { flow_.Arrive(event); }
-  void On(const CallerGone& event) { flow_.CallerLeft(event); }
-  void On(const AttemptStarted& event) { flow_.Started(event); }
-  void On(const AttemptEnded& event) { flow_.Ended(event); }
-  void On(const ServerProbed& event) { flow_.TakeProbe(event); }
-  void On(const EngineAnswered& event);
-  void On(const LogRead& event);
-  void On(const LogFailed& event);
-  void On(const AppendEnded& event);
-  void On(const HostListRead& event);
-  void On(const HostListConfirmed& event) {
+  void HandleEvent(const RequestArrived& event) { flow_.Arrive(event); }
+  void HandleEvent(const CallerGone& event) { flow_.CallerLeft(event); }
+  void HandleEvent(const AttemptStarted& event) { flow_.Started(event); }
+  void HandleEvent(const AttemptEnded& event) { flow_.Ended(event); }
+  void HandleEvent(const ServerProbed& event) { flow_.TakeProbe(event); }
+  void HandleEvent(const EngineAnswered& event);
+  void HandleEvent(const LogRead& event);
+  void HandleEvent(const LogFailed& event);
+  void HandleEvent(const AppendEnded& event);
+  void HandleEvent(const HostListRead& event);
+  void HandleEvent(const HostListConfirmed& event) {
     context_.hosts.Confirm(event.as_of);
   }
-  void On(const CatalogueRead& event);
-  void On(const PeerMessageReceived& event);
-  void On(const RuleSetRead& event);
-  void On(const ServersListed& event);
-  void On(const StoreReached& event);
-  void On(const LeaseRead& event) { fleet_.TakeLease(event); }
-  void On(const LeaseAppendEnded& event) { fleet_.TakeAppendEnd(event); }
-  void On(const OrderAnswered& event) { fleet_.TakeOrderResult(event); }
-  void On(const StoreNewsRead& event) { relay_.TakeNews(event); }
-  void On(const QuarantineRead& event) { quarantine_.TakeRead(event); }
-  void On(const QuarantineAppendEnded& event) {
+  void HandleEvent(const CatalogueRead& event);
+  void HandleEvent(const PeerMessageReceived& event);
+  void HandleEvent(const RuleSetRead& event);
+  void HandleEvent(const ServersListed& event);
+  void HandleEvent(const StoreReached& event);
+  void HandleEvent(const LeaseRead& event) { fleet_.TakeLease(event); }
+  void HandleEvent(const LeaseAppendEnded& event) {
+    fleet_.TakeAppendEnd(event);
+  }
+  void HandleEvent(const OrderAnswered& event) {
+    fleet_.TakeOrderResult(event);
+  }
+  void HandleEvent(const StoreNewsRead& event) {
+    relay_.HandleStoreUpdates(event);
+  }
+  void HandleEvent(const QuarantineRead& event) { quarantine_.TakeRead(event); }
+  void HandleEvent(const QuarantineAppendEnded& event) {
     quarantine_.TakeAppendEnd(event);
   }
-  void On(const DrainRequested& event);
-  void On(const Tick& event);
+  void HandleEvent(const DrainRequested& event);
+  void HandleEvent(const Tick& event);
 
   bool IsFleet() const {
     return context_.settings.placement == PlacementStyle::kFleet;
   }
-  void ControlChanged();
+  void ApplyControlChange();
   void UpdateServices();
-  void CarryForward();
+  void RenewSnapshot();
   void FinishDrain();
 
   NodeContext context_;
@@ -106,7 +114,7 @@
   uint64_t service_sequence_ = 0;
   bool is_drained_ = false;
   TimePoint last_tick_;
-  TimePoint carried_at_;
+  TimePoint snapshot_renewed_at_;
 };
 
 }  // namespace applehall
--- a/node/node_context.cc
+++ b/node/node_context.cc
@@ -7,16 +7,16 @@
 namespace applehall {
 namespace {
 
-// A single call that fails is no outage: listings lapse after seconds only.
-constexpr Duration kOutage = std::chrono::seconds(1);
+// A single failed call is no outage, as listings expire only after seconds.
+constexpr Duration kMinOutage = std::chrono::seconds(1);
 
 }  // namespace
 
 void NodeContext::NoteLogAnswer(TimePoint when) {
-  const Duration silent = when - log_answered_at;
-  if (log_failed && silent >= kOutage) {
+  const Duration gap = when - log_answered_at;
+  if (log_failed && gap >= kMinOutage) {
     log_back_at = now;
-    LogEvent(LogLevel::kInfo, "store_back").With("silent_ms", ToMillis(silent));
+    LogEvent(LogLevel::kInfo, "store_back").With("silent_ms", ToMillis(gap));
   }
   log_failed = false;
   log_answered_at = std::max(log_answered_at, when);
--- a/node/node_context.h
+++ b/node/node_context.h
@@ -19,8 +19,8 @@
 
 namespace applehall {
 
-// What the parts of one node share. Everything belongs to the one thread that
-// drives the node.
+// State shared by the components of one node. Not thread-safe: used only on the
+// thread that drives the node.
 struct NodeContext {
   explicit NodeContext(NodeSettings node_settings)
       : settings(std::move(node_settings)),
@@ -41,31 +41,34 @@
   Metrics metrics;
   Random random;
   DecisionLog decisions;
-  TimePoint started_at;  // First event of this process.
+  TimePoint started_at;  // Time of the first event of this process.
   bool is_draining = false;
   TimePoint drain_began;
-  // Entry hosts that share the placement owner; at least this many until told.
+  // Number of entry hosts that share the placement owner. Until the owner
+  // reports it, at least this many are assumed.
   int fleet_hosts = 8;
 
-  // As of when the topics of the store are known here.
+  // Freshness of the store's topics on this host.
   TopicProofs news;
-  // Whether the log service answered lately.
+  // Availability of the log service or the store.
   TimePoint log_answered_at;
   bool log_failed = false;
-  TimePoint log_failed_at;  // The last failure of a call.
-  TimePoint log_back_at;    // When it answered again after a failure.
+  TimePoint log_failed_at;  // Of the last failed call.
+  TimePoint log_back_at;    // First answer after the last outage.
 
   TimePoint now;
   std::vector<Action>* actions = nullptr;
 
   void Emit(Action action) { actions->push_back(std::move(action)); }
 
-  // The log service, or the store, answered as of `when`, which may lie back.
+  // Records that the log service or the store was available at `when`, which
+  // may be in the past. Not thread-safe.
   void NoteLogAnswer(TimePoint when);
   bool IsLogDown() const {
     return log_failed || now - log_answered_at > settings.log_down_after;
   }
-  // Sends to a host if the host list knows where it is.
+  // Sends a message to a host; does nothing if the host list has no address for
+  // it. Not thread-safe.
   void Send(const std::string& host, PeerMessageType type, Json body) {
     const HostEntry* entry = hosts.Find(host);
     if (entry == nullptr || entry->peer_address.empty()) return;
--- a/node/node_settings.h
+++ b/node/node_settings.h
@@ -16,14 +16,14 @@
 inline constexpr Duration kTickInterval = std::chrono::milliseconds(20);
 
 enum class PlacementStyle : uint8_t {
-  // Groups of engines in each data centre, each with its owner.
+  // Several groups of engines in each data centre, each with its own owner.
   kGroups,
-  // All engines that the platform lists, with one owner.
+  // One owner for all engines that the platform lists.
   kFleet,
 };
 
-// What a node is told at its start. Durations that bound failures stand here,
-// what operators decide stands in the rules.
+// Settings of a node, fixed at its start: identity, capacity and timeouts. What
+// operators change at run time is part of the rules.
 struct NodeSettings {
   Incarnation self;
   std::string data_centre;
@@ -33,12 +33,12 @@
   Duration gossip_interval = std::chrono::milliseconds(500);
   Duration gossip_least_interval = std::chrono::milliseconds(50);
   Duration demand_interval = std::chrono::milliseconds(200);
-  // An owner not heard of for this long may be replaced.
+  // An owner without contact for this long may be replaced.
   Duration owner_lease = std::chrono::seconds(4);
-  // By how much the host list may lag.
+  // Maximum lag of the host list.
   Duration host_list_lag = std::chrono::seconds(5);
   Duration log_down_after = std::chrono::seconds(2);
-  // Carry the state forward when its record is this old.
+  // The control state is written again when its last snapshot is this old.
   Duration carry_after = std::chrono::minutes(10);
   Duration drain_bound = std::chrono::seconds(60);
   double store_loads_per_second = 2.0;
@@ -48,23 +48,24 @@
   size_t decisions_kept = 2000;
   uint64_t seed = 1;
 
-  // Who places models, and on which engines.
+  // Which host places models, and on which engines.
   PlacementStyle placement = PlacementStyle::kGroups;
-  // For kFleet only. Where other hosts reach this one.
+  // For kFleet only: the address at which other hosts reach this one.
   std::string peer_address;
   bool engines_check_fences = true;
   double cpu_share = 1.0;  // Of a core, for this process.
-  double link_mbps = 0;    // Of this host's link; zero: not told.
-  // How long a new placement owner leaves the orders of the one before it.
+  double link_mbps = 0;    // Bandwidth of this host's link; 0: unknown.
+  // How long a new placement owner leaves its predecessor's orders in place.
   Duration order_lease = std::chrono::seconds(3);
-  // Further sends that all hosts together may make at once beside a share of
-  // the requests, for each service.
+  // Retries, for each service, that all hosts together may send at once in
+  // addition to the retry budget's share of the requests.
   double retry_slack = 50;
   QuotaTolerance quota_tolerance;
-  // From the store's acknowledgement to a change in force here.
+  // Time from the store's acknowledgement of a change until it is in force
+  // here.
   NewsBudget news = NewsBudget::Within(std::chrono::seconds(2));
-  // The platform takes some time to send callers elsewhere; until then a
-  // draining host serves them.
+  // Minimum duration of a drain. The platform takes some time to route callers
+  // elsewhere; until then a draining host still serves them.
   Duration drain_least{0};
   bool serves_while_draining = false;
   PolicySet policies;
--- a/node/reader_choice.cc
+++ b/node/reader_choice.cc
@@ -6,18 +6,20 @@
 namespace applehall {
 namespace {
 
-double UsableLink(double mbps) { return IsWideLink(mbps) ? kReaderLink : mbps; }
+double EffectiveLinkMbps(double mbps) {
+  return IsWideLink(mbps) ? kReaderLink : mbps;
+}
 
 }  // namespace
 
-bool ReaderChoice::IsFit(const FleetPeer& peer, const std::string& data_centre,
-                         TimePoint now) {
+bool ReaderChoice::IsEligible(const FleetPeer& peer,
+                              const std::string& data_centre, TimePoint now) {
   return peer.data_centre == data_centre && peer.can_read_store &&
          now - peer.heard_at <= kReaderSilence;
 }
 
 void ReaderChoice::Restart(TimePoint now) {
-  chosen_.clear();
+  selected_.clear();
   started_at_ = now;
 }
 
@@ -28,20 +30,20 @@
 
 PeerAddress ReaderChoice::Reader(const std::string& data_centre,
                                  TimePoint now) {
-  std::string& chosen = chosen_[data_centre];
-  const auto current = peers_.find(chosen);
-  const bool is_fit =
-      current != peers_.end() && IsFit(current->second, data_centre, now);
-  // No link is better than a wide one, so the others need no look.
-  if (is_fit && IsWideLink(current->second.link_mbps)) {
-    return {chosen, current->second.address};
+  std::string& selected = selected_[data_centre];
+  const auto current = peers_.find(selected);
+  const bool is_eligible =
+      current != peers_.end() && IsEligible(current->second, data_centre, now);
+  // No link ranks above a wide one, so the other hosts need not be checked.
+  if (is_eligible && IsWideLink(current->second.link_mbps)) {
+    return {selected, current->second.address};
   }
   const PeerAddress best = Backup(data_centre, /*reader=*/"", now);
-  if (is_fit && UsableLink(current->second.link_mbps) >=
-                    UsableLink(peers_.at(best.host).link_mbps)) {
-    return {chosen, current->second.address};
+  if (is_eligible && EffectiveLinkMbps(current->second.link_mbps) >=
+                         EffectiveLinkMbps(peers_.at(best.host).link_mbps)) {
+    return {selected, current->second.address};
   }
-  chosen = best.host;
+  selected = best.host;
   return best;
 }
 
@@ -49,13 +51,13 @@
                                  const std::string& reader,
                                  TimePoint now) const {
   PeerAddress best;
-  std::pair<double, double> most{-1, -1};
+  std::pair<double, double> best_rank{-1, -1};
   for (const auto& [host, peer] : peers_) {
-    if (host == reader || !IsFit(peer, data_centre, now)) continue;
-    const std::pair<double, double> fitness{UsableLink(peer.link_mbps),
-                                            peer.cpu_share};
-    if (fitness <= most) continue;
-    most = fitness;
+    if (host == reader || !IsEligible(peer, data_centre, now)) continue;
+    const std::pair<double, double> rank{EffectiveLinkMbps(peer.link_mbps),
+                                         peer.cpu_share};
+    if (rank <= best_rank) continue;
+    best_rank = rank;
     best = {host, peer.address};
   }
   return best;
--- a/node/reader_choice.h
+++ b/node/reader_choice.h
@@ -11,66 +11,70 @@
 
 namespace applehall {
 
-// What the placement owner knows of another host.
+// State of another host, as recorded by the placement owner.
 struct FleetPeer {
   std::string address;
   TimePoint heard_at;
   TimePoint sent_at;
-  bool has_plan = false;   // It was told all there was once.
-  uint64_t sent_news = 0;  // Of the engines, up to this one.
+  bool has_plan = false;   // The complete plan was sent to it.
+  uint64_t sent_news = 0;  // Last change of the engines that was sent to it.
   std::set<std::string> waiting;
-  bool is_urgent = false;  // It waits for something that changed.
+  bool is_urgent = false;  // It waits for a change that has occurred.
   std::string data_centre;
   double cpu_share = 0;
-  double link_mbps = 0;  // Zero: not told.
+  double link_mbps = 0;  // 0: unknown.
   bool can_read_store = false;
 };
 
 using FleetPeers = std::map<std::string, FleetPeer>;  // By host.
 
-// In Mbit/s. At this speed a whole configuration of some 100 KB goes to 30
-// hosts in a quarter of a second; a wider link does not matter and is not told.
+// In Mbit/s. At this bandwidth a complete configuration of about 100 KB reaches
+// 30 hosts in a quarter of a second, so wider links are not preferred and not
+// reported.
 inline constexpr double kReaderLink = 100;
 
-// Zero: not told. Thread-safe.
+// A bandwidth of 0 is unknown and counts as wide. Thread-safe.
 inline bool IsWideLink(double mbps) { return mbps <= 0 || mbps >= kReaderLink; }
 
-// A host that has not reported for two beats and a half reads for nobody.
+// A host that has sent no report for two and a half report intervals is not
+// eligible as a reader.
 inline constexpr Duration kReaderSilence = std::chrono::milliseconds(1250);
 
-// Chooses, among the hosts that report to the owner, those that read the
-// platform's store for their data centre.
+// Selects, among the hosts that report to the placement owner, the reader of
+// each data centre: the host that reads the platform's store for all others
+// there.
 class ReaderChoice {
  public:
   // `peers` must outlive this.
   explicit ReaderChoice(const FleetPeers& peers) : peers_(peers) {}
 
-  // The reader of `data_centre`: the one chosen before, as long as it lives,
-  // reaches the store and no host with a wider link does, else the best that
-  // does; nobody if none does. What a reader passes on to all hosts of its data
-  // centre fills a narrow link, so a link that is wide enough goes before
-  // processor. Not thread-safe.
+  // Returns the reader of `data_centre`, an empty address if no host can read
+  // the store. Keeps the previous reader while it reports, reads the store and
+  // no such host has a wider link. A wide link counts more than processor
+  // share, as the updates that a reader relays would fill a narrow link. Not
+  // thread-safe.
   PeerAddress Reader(const std::string& data_centre, TimePoint now);
-  // The best host after `reader`. Those that follow turn to it by themselves if
-  // the reader fails while there is no owner to name another. Not thread-safe.
+  // Returns the best host other than `reader`. Followers switch to it on their
+  // own if the reader fails while no owner can name another. Not thread-safe.
   PeerAddress Backup(const std::string& data_centre, const std::string& reader,
                      TimePoint now) const;
-  // Forgets what was chosen; hosts are heard from `now` on. Not thread-safe.
+  // Discards all selections; hosts start to report at `now`. Not thread-safe.
   void Restart(TimePoint now);
-  // Hosts may report that have not yet, so a choice for want of a better one
-  // would be taken back a moment later. Not thread-safe.
+  // Returns false while hosts may not have sent their first report: a selection
+  // made then could be reverted a moment later. Not thread-safe.
   bool IsSettled(TimePoint now) const {
     return now - started_at_ > kReaderSilence;
   }
-  // `host` may read before the choice is settled. Not thread-safe.
+  // Returns whether `host` has a wide link and may therefore become the reader
+  // before the selection is settled. Not thread-safe.
   bool HasWideLink(const std::string& host) const;
 
  private:
-  static bool IsFit(const FleetPeer& peer, const std::string& data_centre,
-                    TimePoint now);
+  static bool IsEligible(const FleetPeer& peer, const std::string& data_centre,
+                         TimePoint now);
 
   const FleetPeers& peers_;
-  std::map<std::string, std::string> chosen_;  // By data centre.
+  std::map<std::string, std::string> selected_;  // By data centre.
   TimePoint started_at_;
 };
 
--- a/node/store_relay.cc
+++ b/node/store_relay.cc
@@ -12,25 +12,27 @@
 
 using std::chrono::seconds;
 
-// A follower that is silent for so many beats has left or has another reader.
-constexpr int kFollowerLife = 6;
-// News are kept for followers that come from another reader: as long as a
-// reader and its follower can have drifted apart, and within a host's memory.
-constexpr Duration kMemory = seconds(15);
-constexpr size_t kMostRemembered = 512 * 1024;
-
-// A patch that is hardly shorter than the records is not worth its base.
-constexpr double kWorthwhilePatch = 0.8;
-constexpr size_t kMostPatched = 4 * 1024 * 1024;
-// Of a reader's link, for the records that it passes on, beyond what the link
-// carries at once in the time that news may be under way.
-constexpr double kShareOfLink = 0.5;
+// A follower without a message for this many heartbeat intervals has left or
+// has another reader.
+constexpr int kFollowerTimeoutHeartbeats = 6;
+// Updates are retained for followers that come from another reader: as long as
+// such a follower can lag behind this host, and within a bound on memory.
+constexpr Duration kMaxRetention = seconds(15);
+constexpr size_t kMaxRetainedBytes = 512 * 1024;
+
+// A patch longer than this share of the records saves too little: it depends on
+// the follower having its base record.
+constexpr double kMaxPatchRatio = 0.8;
+constexpr size_t kMaxPatchedBytes = 4 * 1024 * 1024;
+// Share of a reader's link for relayed records, in addition to a burst of what
+// the link carries within one heartbeat interval and the transit time.
+constexpr double kLinkShare = 0.5;
 constexpr double kBytesPerMegabit = 125'000;
 constexpr char kStoreSource[] = "store";
 
-int64_t Micros(Duration duration) { return duration.count(); }
+int64_t ToMicros(Duration duration) { return duration.count(); }
 
-std::optional<std::string> BinaryIn(const Json& body, const char* key) {
+std::optional<std::string> ParseBinary(const Json& body, const char* key) {
   const auto found = body.find(key);
   if (found == body.end() || !found->is_binary()) return std::nullopt;
   const Json::binary_t& bytes = found->get_binary();
@@ -42,8 +44,8 @@
 void StoreRelay::SetReader(const PeerAddress& reader) {
   if (reader == reader_) return;
   reader_ = reader;
-  context_.news.ForgetClaims();
-  followed_at_ = TimePoint{};
+  context_.news.RemovePending();
+  follow_sent_at_ = TimePoint{};
   LogEvent(LogLevel::kInfo, "store_reader").With("reader", reader_.host);
 }
 
@@ -52,288 +54,300 @@
          !context_.is_draining;
 }
 
-bool StoreRelay::IsSource(const std::string& host) const {
+bool StoreRelay::IsReaderOrBackup(const std::string& host) const {
   return host == reader_.host || (host == backup_.host && !host.empty());
 }
 
-TimePoint StoreRelay::RelayedAsOf() const {
+TimePoint StoreRelay::RelayedFreshness() const {
   TimePoint oldest = context_.now;
-  for (const auto& [topic, proof] : context_.news.known()) {
-    const auto relayed = relayed_as_of_.find(topic);
-    if (relayed == relayed_as_of_.end()) return {};
+  for (const auto& [topic, state] : context_.news.known()) {
+    const auto relayed = relayed_freshness_.find(topic);
+    if (relayed == relayed_freshness_.end()) return {};
     oldest = std::min(oldest, relayed->second);
   }
   return context_.news.known().empty() ? TimePoint{} : oldest;
 }
 
-// Half of the trust is left then for the backup's answer.
-bool StoreRelay::IsInDoubt() const { return ProofAge() > budget().trust / 2; }
+// Leaves half of the allowed staleness for the backup's answer.
+bool StoreRelay::NeedsBackup() const {
+  return RelayedStaleness() > budget().trust / 2;
+}
 
-void StoreRelay::TakeNews(const StoreNewsRead& news) {
-  context_.news.Know(news.topic, news.next);
-  if (news.as_of != TimePoint{}) {
-    context_.news.Prove(news.topic, news.next, news.as_of, kStoreSource);
+void StoreRelay::HandleStoreUpdates(const StoreNewsRead& updates) {
+  context_.news.RecordOffset(updates.topic, updates.next);
+  if (updates.as_of != TimePoint{}) {
+    context_.news.RecordFreshness(updates.topic, updates.next, updates.as_of,
+                                  kStoreSource);
   }
-  if (!news.records.empty()) {
-    const Remembered& remembered = Keep(WithPatch(news));
+  if (!updates.records.empty()) {
+    const RetainedUpdates& retained = Retain(MakeRetained(updates));
     if (!followers_.empty()) {
-      LogEvent(LogLevel::kInfo, "store_news_passed")
-          .With("topic", news.topic)
-          .With("from", news.from)
-          .With("to", news.next)
-          .With("bytes", news.records.size())
-          .With("patch_bytes", remembered.patch.size())
+      LogEvent(LogLevel::kInfo, "store_updates_relayed")
+          .With("topic", updates.topic)
+          .With("from", updates.from)
+          .With("to", updates.next)
+          .With("bytes", updates.records.size())
+          .With("patch_bytes", retained.patch.size())
           .With("followers", followers_.size())
-          .With("read_ms_ago", ToMillis(context_.now - news.as_of));
+          .With("read_ms_ago", ToMillis(context_.now - updates.as_of));
     }
     for (auto& [host, follower] : followers_) {
-      SendNews(host, follower, &remembered);
+      SendUpdates(host, follower, &retained);
     }
   }
-  if (!news.last_record.empty()) {
-    bases_[news.topic] = news.last_record;
-  } else if (!news.records.empty()) {
-    bases_.erase(news.topic);
+  if (!updates.last_record.empty()) {
+    base_records_[updates.topic] = updates.last_record;
+  } else if (!updates.records.empty()) {
+    base_records_.erase(updates.topic);
   }
 }
 
-StoreRelay::Remembered StoreRelay::WithPatch(const StoreNewsRead& news) const {
-  Remembered remembered{news, context_.now, "", 0};
-  const auto base = bases_.find(news.topic);
-  if (base == bases_.end()) return remembered;
-  std::string patch = MakeBytePatch(base->second, news.records);
+StoreRelay::RetainedUpdates StoreRelay::MakeRetained(
+    const StoreNewsRead& updates) const {
+  RetainedUpdates retained{updates, context_.now, "", 0};
+  const auto base = base_records_.find(updates.topic);
+  if (base == base_records_.end()) return retained;
+  std::string patch = MakeBytePatch(base->second, updates.records);
   if (static_cast<double>(patch.size()) >
-      kWorthwhilePatch * static_cast<double>(news.records.size())) {
-    return remembered;
+      kMaxPatchRatio * static_cast<double>(updates.records.size())) {
+    return retained;
   }
-  remembered.patch = std::move(patch);
-  remembered.base_hash = StableHash(base->second);
-  return remembered;
+  retained.patch = std::move(patch);
+  retained.base_hash = StableHash(base->second);
+  return retained;
 }
 
-const StoreRelay::Remembered& StoreRelay::Keep(Remembered remembered) {
-  std::deque<Remembered>& kept = remembered_[remembered.news.topic];
-  kept.push_back(std::move(remembered));
+const StoreRelay::RetainedUpdates& StoreRelay::Retain(
+    RetainedUpdates retained) {
+  std::deque<RetainedUpdates>& kept = retained_[retained.updates.topic];
+  kept.push_back(std::move(retained));
   size_t bytes = 0;
-  for (const Remembered& one : kept) bytes += one.news.records.size();
-  while (kept.size() > 1 && (bytes > kMostRemembered ||
-                             context_.now - kept.front().at > kMemory)) {
-    bytes -= kept.front().news.records.size();
+  for (const RetainedUpdates& one : kept) bytes += one.updates.records.size();
+  while (kept.size() > 1 &&
+         (bytes > kMaxRetainedBytes ||
+          context_.now - kept.front().retained_at > kMaxRetention)) {
+    bytes -= kept.front().updates.records.size();
     kept.pop_front();
   }
   return kept.back();
 }
 
-// Guards against a gap that a follower cannot fill where the store refuses it:
-// its reader died, or a message was lost, and it had to read for itself what
-// came in between. Offsets tell what it lacks.
-void StoreRelay::SendMissed(const std::string& host, Follower& follower) {
-  for (const auto& [topic, kept] : remembered_) {
-    const auto told = follower.told.find(topic);
-    if (told == follower.told.end()) continue;
-    for (const Remembered& one : kept) {
-      if (one.news.next <= told->second.next) continue;
-      if (one.news.from > told->second.next) break;
-      SendNews(host, follower, &one);
+// Guards against a gap that a follower cannot close while the store rejects its
+// calls, after its reader crashed or a message was lost. The offsets show which
+// records it lacks.
+void StoreRelay::SendMissing(const std::string& host, Follower& follower) {
+  for (const auto& [topic, kept] : retained_) {
+    const auto sent = follower.sent.find(topic);
+    if (sent == follower.sent.end()) continue;
+    for (const RetainedUpdates& one : kept) {
+      if (one.updates.next <= sent->second.next) continue;
+      if (one.updates.from > sent->second.next) break;
+      SendUpdates(host, follower, &one);
     }
   }
 }
 
-void StoreRelay::TakeFollow(const std::string& host, const Json& body) {
+void StoreRelay::HandleFollow(const std::string& host, const Json& body) {
   Follower& follower = followers_[host];
-  const bool is_new = follower.heard_at == TimePoint{};
+  const bool is_new = follower.last_contact_at == TimePoint{};
   follower.address = FieldOr<std::string>(body, "p", "");
   follower.stamp = FieldOr<int64_t>(body, "t", 0);
-  follower.heard_at = context_.now;
-  follower.needs_whole = FieldOr<bool>(body, "whole", false);
-  // Sent after what it has seen last, news may still be under way; sending them
-  // again would add to what they wait behind.
+  follower.last_contact_at = context_.now;
+  follower.needs_full_records = FieldOr<bool>(body, "whole", false);
+  // Records sent after the last message that the follower has received may
+  // still be in transit; sending them again would only lengthen the queue on
+  // the link.
   const TimePoint seen{Duration(FieldOr<int64_t>(body, "seen", 0))};
   const Json known = body.value("next", Json::object());
   for (const auto& [topic, next] : known.items()) {
     if (!next.is_number_unsigned()) continue;
-    Told& told = follower.told[topic];
+    SentState& sent = follower.sent[topic];
     const auto offset = next.get<LogOffset>();
-    if (offset >= told.next || told.at <= seen) told.next = offset;
+    if (offset >= sent.next || sent.last_sent_at <= seen) sent.next = offset;
   }
-  SendMissed(host, follower);
-  if (is_new) SendNews(host, follower, nullptr);
+  SendMissing(host, follower);
+  if (is_new) SendUpdates(host, follower, nullptr);
 }
 
-// What is known of each topic goes out with the age of its proof, and `held`
-// tells how long ago the follower's stamp came. Both are spans of this host's
-// clock, so the follower needs no common time, and a message that was held up
-// on its way proves no more than the moment its stamp was made.
-void StoreRelay::SendNews(const std::string& host, Follower& follower,
-                          const Remembered* news) {
+// Sends the offset and staleness of each topic, and in `held` the time since
+// the follower's stamp was received. Both are durations by this host's clock,
+// so no synchronised clocks are needed, and a message that was delayed on its
+// way proves freshness only up to the time of its stamp.
+void StoreRelay::SendUpdates(const std::string& host, Follower& follower,
+                             const RetainedUpdates* updates) {
   if (context_.is_draining) return;
   follower.sent_at = context_.now;
   Json known = Json::object();
-  for (const auto& [topic, proof] : context_.news.known()) {
+  for (const auto& [topic, state] : context_.news.known()) {
     known[topic] =
-        Json::array({proof.next, Micros(context_.now - proof.as_of)});
+        Json::array({state.next, ToMicros(context_.now - state.as_of)});
   }
   Json body{{"t", follower.stamp},
-            {"s", Micros(context_.now.time_since_epoch())},
-            {"held", Micros(context_.now - follower.heard_at)},
+            {"s", ToMicros(context_.now.time_since_epoch())},
+            {"held", ToMicros(context_.now - follower.last_contact_at)},
             {"known", std::move(known)}};
   if (!owner_.peer.host.empty()) {
     body["o"] =
         Json::array({owner_.peer.host, owner_.peer.address, owner_.token});
   }
-  if (news != nullptr) AddRecords(*news, follower, body);
+  if (updates != nullptr) AddRecords(*updates, follower, body);
   context_.Emit(SendPeer{
       host, follower.address, {PeerMessageType::kStoreNews, std::move(body)}});
 }
 
-void StoreRelay::AddRecords(const Remembered& news, Follower& follower,
+void StoreRelay::AddRecords(const RetainedUpdates& retained, Follower& follower,
                             Json& body) {
-  const StoreNewsRead& read = news.news;
-  Told& told = follower.told[read.topic];
-  const bool has_base =
-      told.next == read.from && !news.patch.empty() && !follower.needs_whole;
-  const std::string& bytes = has_base ? news.patch : read.records;
-  // A follower that is told no records asks again with its next message, and
-  // reads for itself once its proof is too old.
-  if (!TakeRoom(bytes.size())) return;
+  const StoreNewsRead& read = retained.updates;
+  SentState& sent = follower.sent[read.topic];
+  const bool has_base = sent.next == read.from && !retained.patch.empty() &&
+                        !follower.needs_full_records;
+  const std::string& bytes = has_base ? retained.patch : read.records;
+  // A follower that gets no records now requests them with its next message,
+  // and reads the store itself once its topics are too stale.
+  if (!TrySpendBytes(bytes.size())) return;
   body["topic"] = read.topic;
   body["from"] = read.from;
   body["to"] = read.next;
-  if (has_base) body["base"] = news.base_hash;
+  if (has_base) body["base"] = retained.base_hash;
   body[has_base ? "patch" : "records"] =
       Json::binary(std::vector<uint8_t>(bytes.begin(), bytes.end()));
-  told = {read.next, context_.now};
+  sent = {read.next, context_.now};
 }
 
-// Guards against news that fill this host's link, whole records or a storm of
-// changes to many followers: its own reads and its callers wait behind them.
-bool StoreRelay::TakeRoom(size_t bytes) {
-  const double told = context_.settings.link_mbps;
-  const double per_second = (told > 0 ? told : kReaderLink) * kBytesPerMegabit;
-  const double most = per_second * ToSeconds(budget().beat + budget().transit);
-  const double since = ToSeconds(context_.now - room_at_);
-  room_ = std::min(most, room_ + kShareOfLink * per_second * since);
-  room_at_ = context_.now;
-  if (room_ <= 0) {
+// Guards against relayed records, large ones or a burst of changes to many
+// followers, that saturate this host's link and delay its own reads and
+// callers.
+bool StoreRelay::TrySpendBytes(size_t bytes) {
+  const double mbps = context_.settings.link_mbps;
+  const double per_second = (mbps > 0 ? mbps : kReaderLink) * kBytesPerMegabit;
+  const double burst = per_second * ToSeconds(budget().beat + budget().transit);
+  const double elapsed = ToSeconds(context_.now - refilled_at_);
+  link_tokens_ =
+      std::min(burst, link_tokens_ + kLinkShare * per_second * elapsed);
+  refilled_at_ = context_.now;
+  if (link_tokens_ <= 0) {
     context_.metrics.Count("store_news_put_off_total");
     return false;
   }
-  // One that is larger than the room goes out all the same, and those after it
-  // wait for that.
-  room_ -= static_cast<double>(bytes);
+  // A record larger than the remaining tokens is sent all the same, and later
+  // records wait until the debt is repaid.
+  link_tokens_ -= static_cast<double>(bytes);
   return true;
 }
 
-KnownOwner StoreRelay::OwnerIn(const Json& body) {
-  const Json told = body.value("o", Json::array());
-  const bool is_owner = told.is_array() && told.size() == 3 &&
-                        told[0].is_string() && told[1].is_string() &&
-                        told[2].is_number_unsigned();
+KnownOwner StoreRelay::ParseOwner(const Json& body) {
+  const Json row = body.value("o", Json::array());
+  const bool is_owner = row.is_array() && row.size() == 3 &&
+                        row[0].is_string() && row[1].is_string() &&
+                        row[2].is_number_unsigned();
   if (!is_owner) return {};
-  return {{told[0].get<std::string>(), told[1].get<std::string>()},
-          told[2].get<FencingToken>()};
+  return {{row[0].get<std::string>(), row[1].get<std::string>()},
+          row[2].get<FencingToken>()};
 }
 
-void StoreRelay::TakeRelayed(const std::string& host, const Json& body) {
-  if (!IsSource(host) || !IsFollowing()) return;
+void StoreRelay::HandleRelayedUpdates(const std::string& host,
+                                      const Json& body) {
+  if (!IsReaderOrBackup(host) || !IsFollowing()) return;
   const auto known = body.find("known");
   if (known == body.end() || !known->is_object()) return;
   const TimePoint stamp{Duration(FieldOr<int64_t>(body, "t", 0))};
   const Duration held(FieldOr<int64_t>(body, "held", 0));
-  seen_[host] = FieldOr<int64_t>(body, "s", 0);
-  TakeRecords(host, body, context_.now - stamp - held);
-  for (const auto& [topic, claim] : known->items()) {
-    const bool is_claim = claim.is_array() && claim.size() == 2 &&
-                          claim[0].is_number_unsigned() &&
-                          claim[1].is_number_integer();
-    if (!is_claim) continue;
-    const TimePoint as_of = stamp + held - Duration(claim[1].get<int64_t>());
-    TimePoint& relayed = relayed_as_of_[topic];
+  last_stamps_[host] = FieldOr<int64_t>(body, "s", 0);
+  ApplyRecords(host, body, context_.now - stamp - held);
+  for (const auto& [topic, report] : known->items()) {
+    const bool is_report = report.is_array() && report.size() == 2 &&
+                           report[0].is_number_unsigned() &&
+                           report[1].is_number_integer();
+    if (!is_report) continue;
+    const TimePoint as_of = stamp + held - Duration(report[1].get<int64_t>());
+    TimePoint& relayed = relayed_freshness_[topic];
     relayed = std::max(relayed, as_of);
-    context_.news.Prove(topic, claim[0].get<LogOffset>(), as_of, host);
+    context_.news.RecordFreshness(topic, report[0].get<LogOffset>(), as_of,
+                                  host);
   }
 }
 
-absl::StatusOr<std::string> StoreRelay::RecordsIn(
+absl::StatusOr<std::string> StoreRelay::DecodeRecords(
     const Json& body, const std::string& topic) const {
-  const LogOffset own = context_.news.Next(topic);
+  const LogOffset own = context_.news.NextOffset(topic);
   const auto from = FieldOr<LogOffset>(body, "from", 0);
-  if (!context_.news.Knows(topic)) {
-    return absl::FailedPreconditionError("nothing of the topic is known yet");
+  if (!context_.news.Contains(topic)) {
+    return absl::FailedPreconditionError(
+        "this host has no records of the topic yet");
   }
   if (own >= FieldOr<LogOffset>(body, "to", 0)) {
-    return absl::AlreadyExistsError("known");
+    return absl::AlreadyExistsError("all records are known already");
   }
-  // Records before a gap are missing here; they are told again, or the own read
-  // brings them.
-  if (own < from) return absl::OutOfRangeError("a gap");
-  const std::optional<std::string> patch = BinaryIn(body, "patch");
+  // The records in the gap are sent again, or this host's own read returns
+  // them.
+  if (own < from) return absl::OutOfRangeError("earlier records are missing");
+  const std::optional<std::string> patch = ParseBinary(body, "patch");
   if (!patch) {
-    std::optional<std::string> records = BinaryIn(body, "records");
-    if (!records) return absl::InvalidArgumentError("no records");
+    std::optional<std::string> records = ParseBinary(body, "records");
+    if (!records) return absl::InvalidArgumentError("no records field");
     return *std::move(records);
   }
-  const auto base = bases_.find(topic);
-  if (own != from || base == bases_.end() ||
+  const auto base = base_records_.find(topic);
+  if (own != from || base == base_records_.end() ||
       StableHash(base->second) != FieldOr<uint64_t>(body, "base", 0)) {
-    return absl::DataLossError("a patch of another record");
+    return absl::DataLossError("the patch has another base record");
   }
   std::optional<std::string> records =
-      ApplyBytePatch(base->second, *patch, kMostPatched);
-  if (!records) return absl::DataLossError("a malformed patch");
+      ApplyBytePatch(base->second, *patch, kMaxPatchedBytes);
+  if (!records) return absl::DataLossError("the patch is malformed");
   return *std::move(records);
 }
 
-void StoreRelay::TakeRecords(const std::string& host, const Json& body,
-                             Duration delay) {
+void StoreRelay::ApplyRecords(const std::string& host, const Json& body,
+                              Duration delay) {
   const std::string topic = FieldOr<std::string>(body, "topic", "");
   if (topic.empty()) return;
   context_.metrics.Observe("store_news_delay", delay);
-  absl::StatusOr<std::string> records = RecordsIn(body, topic);
-  if (absl::IsDataLoss(records.status())) needs_whole_ = true;
+  absl::StatusOr<std::string> records = DecodeRecords(body, topic);
+  if (absl::IsDataLoss(records.status())) needs_full_records_ = true;
   const auto from = FieldOr<LogOffset>(body, "from", 0);
   const auto to = FieldOr<LogOffset>(body, "to", 0);
-  std::optional<std::string> patch = BinaryIn(body, "patch");
+  std::optional<std::string> patch = ParseBinary(body, "patch");
   LogEvent(LogLevel::kInfo,
-           records.ok() ? "store_news_taken" : "store_news_unfit")
+           records.ok() ? "store_updates_applied" : "store_updates_rejected")
       .With("topic", topic)
       .With("from", from)
       .With("to", to)
-      .With("known", context_.news.Next(topic))
+      .With("known", context_.news.NextOffset(topic))
       .With("bytes", records.ok() ? records->size() : 0)
       .With("patch_bytes", patch ? patch->size() : 0)
       .With("reader", host)
       .With("delay_ms", ToMillis(delay))
-      .With("proof_age_ms", ToMillis(ProofAge()))
+      .With("proof_age_ms", ToMillis(RelayedStaleness()))
       .With("reason", std::string(records.status().message()));
   if (!records.ok()) return;
-  needs_whole_ = false;
+  needs_full_records_ = false;
   context_.Emit(TakeStoreNews{topic, from, to, *records});
-  context_.news.Know(topic, to);
-  StoreNewsRead news{.topic = topic, .from = from, .next = to};
-  news.records = *std::move(records);
-  Keep({std::move(news), context_.now, patch.value_or(""),
-        FieldOr<uint64_t>(body, "base", 0)});
+  context_.news.RecordOffset(topic, to);
+  StoreNewsRead updates{.topic = topic, .from = from, .next = to};
+  updates.records = *std::move(records);
+  Retain({std::move(updates), context_.now, patch.value_or(""),
+          FieldOr<uint64_t>(body, "base", 0)});
 }
 
 void StoreRelay::SendFollow(const PeerAddress& reader) {
   Json next = Json::object();
-  for (const auto& [topic, proof] : context_.news.known()) {
-    next[topic] = proof.next;
+  for (const auto& [topic, state] : context_.news.known()) {
+    next[topic] = state.next;
   }
   context_.Emit(SendPeer{reader.host,
                          reader.address,
                          {PeerMessageType::kStoreFollow,
                           Json{{"p", context_.settings.peer_address},
-                               {"t", Micros(context_.now.time_since_epoch())},
-                               {"seen", SeenOf(reader.host)},
-                               {"whole", needs_whole_},
+                               {"t", ToMicros(context_.now.time_since_epoch())},
+                               {"seen", LastStampFrom(reader.host)},
+                               {"whole", needs_full_records_},
                                {"next", std::move(next)}}}});
 }
 
-int64_t StoreRelay::SeenOf(const std::string& reader) const {
-  const auto seen = seen_.find(reader);
-  return seen == seen_.end() ? 0 : seen->second;
+int64_t StoreRelay::LastStampFrom(const std::string& reader) const {
+  const auto seen = last_stamps_.find(reader);
+  return seen == last_stamps_.end() ? 0 : seen->second;
 }
 
 void StoreRelay::SetReading(bool is_reading) {
@@ -344,37 +358,38 @@
   LogEvent(LogLevel::kInfo,
            is_reading ? "store_read_own" : "store_read_relayed")
       .With("reader", reader_.host)
-      .With("proof_age_ms", ToMillis(ProofAge()))
-      .With("caught_up", context_.news.HasCaughtUp() ? "yes" : "no");
+      .With("proof_age_ms", ToMillis(RelayedStaleness()))
+      .With("caught_up", context_.news.IsCaughtUp() ? "yes" : "no");
   context_.Emit(FollowStore{is_reading, context_.news.AsOf()});
 }
 
 void StoreRelay::RunTick() {
   std::erase_if(followers_, [this](const auto& item) {
-    return context_.now - item.second.heard_at > kFollowerLife * budget().beat;
+    return context_.now - item.second.last_contact_at >
+           kFollowerTimeoutHeartbeats * budget().beat;
   });
   for (auto& [host, follower] : followers_) {
     if (context_.now - follower.sent_at >= budget().beat) {
-      SendNews(host, follower, nullptr);
+      SendUpdates(host, follower, nullptr);
     }
   }
   if (!IsFollowing()) {
     SetReading(true);
     return;
   }
-  if (context_.now - followed_at_ >= budget().beat) {
-    followed_at_ = context_.now;
+  if (context_.now - follow_sent_at_ >= budget().beat) {
+    follow_sent_at_ = context_.now;
     SendFollow(reader_);
     const bool has_backup =
         !backup_.host.empty() && backup_.host != context_.settings.self.host;
-    if (has_backup && IsInDoubt()) SendFollow(backup_);
+    if (has_backup && NeedsBackup()) SendFollow(backup_);
   }
-  // A follower that lacks what its reader has is told again; until its own
-  // proof is too old that spares the store a read by each of many.
+  // The reader sends missing records again. Waiting for that until this host's
+  // own topics are too stale spares the store a read by each of many followers.
   const Duration age = context_.now - context_.news.AsOf();
-  SetReading(std::max(age, ProofAge()) > budget().trust);
+  SetReading(std::max(age, RelayedStaleness()) > budget().trust);
   if (is_reading_) return;
-  // What the reader vouches for, this host knows as well.
+  // Freshness that the reader reports also shows that the store is available.
   const TimePoint as_of = context_.news.AsOf();
   if (as_of > std::max(context_.log_answered_at, context_.log_failed_at)) {
     context_.NoteLogAnswer(as_of);
--- a/node/store_relay.h
+++ b/node/store_relay.h
@@ -12,115 +12,126 @@
 
 namespace applehall {
 
-// Lets one host of a data centre read the platform's store for the others.
+// Lets one host of a data centre read the platform's store for the others, as
+// otherwise the calls to the store grow with the number of hosts.
 //
-// Calls to the store grow with the number of hosts. A host that is told a
-// reader follows it: it takes the news the reader passes on and stops its own
-// reads as long as it can prove, for each topic, that these are recent
-// (TopicProofs). No proof of what it knows within the budget's trust, and it
-// reads for itself again, so a reader that dies, stands still, is cut off,
-// has lost the store or waits for an answer about one topic delays a change by
-// that time at most.
+// A host that has a reader follows it: it applies the updates that the reader
+// relays and makes no reads of its own while each topic is fresh (TopicProofs).
+// If a topic is staler than the budget's trust, the host reads the store
+// itself. So a reader that crashes, stalls, is partitioned, has lost the store
+// or waits for an answer about one topic delays a change by that time at most.
 //
-// News are passed on unread: what they mean is the platform's adapter's affair.
-// A record that is a variant of the one before it, as a configuration with one
-// change is, goes out as a patch, so that a storm of changes does not queue on
-// the reader's link.
+// Updates are relayed without being decoded; only the platform adapter
+// interprets them. A record that differs little from the one before it, such as
+// a configuration with one change, is sent as a patch, so that a burst of
+// changes does not queue on the reader's link.
 class StoreRelay {
  public:
   explicit StoreRelay(NodeContext& context) : context_(context) {}
 
-  // Names the reader of this data centre; an empty name, or this host's own,
-  // makes it read for itself. Not thread-safe.
+  // Sets the reader of this data centre. With an empty name, or its own, this
+  // host reads the store itself. Not thread-safe.
   void SetReader(const PeerAddress& reader);
-  // One that is followed as well while the reader proves nothing. Not
-  // thread-safe.
+  // Sets a host that is followed in addition while the reader's reports are
+  // stale. Not thread-safe.
   void SetBackup(const PeerAddress& backup) { backup_ = backup; }
-  // The holder of the lease that is passed on with the news. Not thread-safe.
-  void SetOwner(const KnownOwner& owner) { owner_ = owner; }
-  // The holder that `body`, of another host's news, names. Thread-safe.
-  static KnownOwner OwnerIn(const Json& body);
-  // News of the store were read here, or taken over from the reader. Not
-  // thread-safe.
-  void TakeNews(const StoreNewsRead& news);
-  // Another host follows this one. Not thread-safe.
-  void TakeFollow(const std::string& host, const Json& body);
-  // What the reader passes on. Not thread-safe.
-  void TakeRelayed(const std::string& host, const Json& body);
+  // Sets the holder of the placement lease, which is relayed with the updates.
   // Not thread-safe.
+  void SetOwner(const KnownOwner& owner) { owner_ = owner; }
+  // Returns the lease holder that is named in `body`, a kStoreNews message; an
+  // empty one if there is none. Thread-safe.
+  static KnownOwner ParseOwner(const Json& body);
+  // Handles updates that this host read, or applied after its reader relayed
+  // them: relays them to its followers. Not thread-safe.
+  void HandleStoreUpdates(const StoreNewsRead& updates);
+  // Handles a kStoreFollow message of a follower. Not thread-safe.
+  void HandleFollow(const std::string& host, const Json& body);
+  // Handles a kStoreNews message; ignores those of hosts other than the reader
+  // and the backup. Not thread-safe.
+  void HandleRelayedUpdates(const std::string& host, const Json& body);
+  // Removes followers without contact, sends due heartbeats and switches
+  // between own reads and relayed updates. Not thread-safe.
   void RunTick();
 
   bool reads_itself() const { return is_reading_; }
   Json ToJson() const;
 
  private:
-  // Up to where a follower was told a topic.
-  struct Told {
-    LogOffset next = 0;
-    TimePoint at;  // When the last news of it were sent.
+  // What a follower was sent of one topic.
+  struct SentState {
+    LogOffset next = 0;  // All records before this offset.
+    TimePoint last_sent_at;
   };
   struct Follower {
     std::string address;
-    TimePoint heard_at;
+    TimePoint last_contact_at;
     TimePoint sent_at;
-    int64_t stamp = 0;  // Of its last message, by its own clock.
-    std::map<std::string, Told> told;
-    bool needs_whole = false;  // The record that patches are of is not there.
+    int64_t stamp = 0;  // Time of its last message by its own clock.
+    std::map<std::string, SentState> sent;  // By topic.
+    bool needs_full_records = false;  // It lacks the base record of patches.
   };
-  // News that followers may still lack.
-  struct Remembered {
-    StoreNewsRead news;
-    TimePoint at;
-    // What makes the records out of the record before them; empty: no such
-    // record is known, or the records are hardly longer.
+  // Updates retained for followers that have not received them.
+  struct RetainedUpdates {
+    StoreNewsRead updates;
+    TimePoint retained_at;
+    // Patch from the preceding record to `updates.records`; empty if that
+    // record is not known or the patch is not considerably shorter.
     std::string patch;
-    uint64_t base_hash = 0;  // Of the record before them.
+    uint64_t base_hash = 0;  // Of the preceding record.
   };
 
   const NewsBudget& budget() const { return context_.settings.news; }
-  Duration ProofAge() const { return context_.now - RelayedAsOf(); }
+  Duration RelayedStaleness() const {
+    return context_.now - RelayedFreshness();
+  }
   bool IsFollowing() const;
-  bool IsSource(const std::string& host) const;
-  // As of when the readers have what this host knows; the epoch if they prove
-  // nothing of some topic.
-  TimePoint RelayedAsOf() const;
-  // Proof is due from the backup as well.
-  bool IsInDoubt() const;
-  Remembered WithPatch(const StoreNewsRead& news) const;
-  // The result is valid until the next call.
-  const Remembered& Keep(Remembered remembered);
-  void SendMissed(const std::string& host, Follower& follower);
-  // The records of a message, or why they do not continue what is known here;
-  // DataLoss if only the record that they are a patch of is missing.
-  absl::StatusOr<std::string> RecordsIn(const Json& body,
-                                        const std::string& topic) const;
-  void TakeRecords(const std::string& host, const Json& body, Duration delay);
+  bool IsReaderOrBackup(const std::string& host) const;
+  // Returns the freshness, by the reports of the reader and the backup, of the
+  // stalest topic that this host knows; the epoch if one was never reported.
+  TimePoint RelayedFreshness() const;
+  // Returns whether the backup must be followed as well.
+  bool NeedsBackup() const;
+  RetainedUpdates MakeRetained(const StoreNewsRead& updates) const;
+  // Adds updates and evicts expired ones. The result is valid until the next
+  // call.
+  const RetainedUpdates& Retain(RetainedUpdates retained);
+  void SendMissing(const std::string& host, Follower& follower);
+  // Returns the records of a message, or an error if they do not continue the
+  // records of this host; DataLoss if only the base record of a patch is
+  // missing.
+  absl::StatusOr<std::string> DecodeRecords(const Json& body,
+                                            const std::string& topic) const;
+  void ApplyRecords(const std::string& host, const Json& body, Duration delay);
   void SendFollow(const PeerAddress& reader);
-  void SendNews(const std::string& host, Follower& follower,
-                const Remembered* news);
-  int64_t SeenOf(const std::string& reader) const;
-  void AddRecords(const Remembered& news, Follower& follower, Json& body);
-  // False if records have had their share of the link for now.
-  bool TakeRoom(size_t bytes);
+  void SendUpdates(const std::string& host, Follower& follower,
+                   const RetainedUpdates* updates);
+  int64_t LastStampFrom(const std::string& reader) const;
+  void AddRecords(const RetainedUpdates& retained, Follower& follower,
+                  Json& body);
+  // Returns false if relayed records have used up their share of the link for
+  // now.
+  bool TrySpendBytes(size_t bytes);
   void SetReading(bool is_reading);
 
   NodeContext& context_;
   PeerAddress reader_;
   PeerAddress backup_;
   KnownOwner owner_;
-  TimePoint followed_at_;  // Last message to the reader.
-  std::map<std::string, TimePoint> relayed_as_of_;  // By topic.
-  // When each reader sent its last message that came, by its own clock.
-  std::map<std::string, int64_t> seen_;
-  double room_ = 0;  // In bytes; below zero: overdrawn.
-  TimePoint room_at_;
-  bool needs_whole_ = false;  // A patch of an unknown record came.
+  TimePoint follow_sent_at_;  // When the last kStoreFollow message was sent.
+  std::map<std::string, TimePoint> relayed_freshness_;  // By topic.
+  // Time of the last message received from each reader, by the reader's clock.
+  std::map<std::string, int64_t> last_stamps_;
+  // Token bucket for relayed records, in bytes; negative after a large record.
+  double link_tokens_ = 0;
+  TimePoint refilled_at_;
+  // A patch of an unknown record was received.
+  bool needs_full_records_ = false;
   bool is_reading_ = true;
   std::map<std::string, Follower> followers_;
-  // The latest news of each topic, for followers that missed some.
-  std::map<std::string, std::deque<Remembered>> remembered_;
-  // The last record of each topic, of which the next is likely a variant.
-  std::map<std::string, std::string> bases_;
+  // Recent updates of each topic, for followers that missed some.
+  std::map<std::string, std::deque<RetainedUpdates>> retained_;
+  // The last record of each topic: the base of the patch to the next record.
+  std::map<std::string, std::string> base_records_;
 };
 
 }  // namespace applehall
--- a/node/topic_proofs.cc
+++ b/node/topic_proofs.cc
@@ -4,34 +4,34 @@
 
 namespace applehall {
 
-void TopicProofs::Merge(const TopicProof& claim, TopicProof& known) {
-  if (claim.as_of <= known.as_of) return;
-  known.as_of = claim.as_of;
-  known.source = claim.source;
+void TopicProofs::Merge(const TopicProof& report, TopicProof& known) {
+  if (report.as_of <= known.as_of) return;
+  known.as_of = report.as_of;
+  known.source = report.source;
 }
 
-void TopicProofs::Know(const std::string& topic, LogOffset next) {
+void TopicProofs::RecordOffset(const std::string& topic, LogOffset next) {
   TopicProof& known = known_[topic];
   known.next = std::max(known.next, next);
-  const auto claim = claims_.find(topic);
-  if (claim == claims_.end() || claim->second.next > known.next) return;
-  Merge(claim->second, known);
-  claims_.erase(claim);
+  const auto report = pending_.find(topic);
+  if (report == pending_.end() || report->second.next > known.next) return;
+  Merge(report->second, known);
+  pending_.erase(report);
 }
 
-void TopicProofs::Prove(const std::string& topic, LogOffset next,
-                        TimePoint as_of, const std::string& source) {
+void TopicProofs::RecordFreshness(const std::string& topic, LogOffset next,
+                                  TimePoint as_of, const std::string& source) {
   const auto known = known_.find(topic);
   if (known != known_.end() && known->second.next >= next) {
     Merge({next, as_of, source}, known->second);
     return;
   }
-  TopicProof& claim = claims_[topic];
-  if (next < claim.next) return;
-  claim = {next, as_of, source};
+  TopicProof& report = pending_[topic];
+  if (next < report.next) return;
+  report = {next, as_of, source};
 }
 
-LogOffset TopicProofs::Next(const std::string& topic) const {
+LogOffset TopicProofs::NextOffset(const std::string& topic) const {
   const auto known = known_.find(topic);
   return known == known_.end() ? 0 : known->second.next;
 }
@@ -45,18 +45,19 @@
       ->second.as_of;
 }
 
-bool TopicProofs::HasCaughtUp() const {
-  return std::all_of(claims_.begin(), claims_.end(), [this](const auto& item) {
-    return Next(item.first) >= item.second.next;
-  });
+bool TopicProofs::IsCaughtUp() const {
+  return std::all_of(pending_.begin(), pending_.end(),
+                     [this](const auto& item) {
+                       return NextOffset(item.first) >= item.second.next;
+                     });
 }
 
 Json TopicProofs::ToJson(TimePoint now) const {
   Json json = Json::object();
-  for (const auto& [topic, proof] : known_) {
-    json[topic] = Json{{"next", proof.next},
-                       {"age_ms", ToMillis(now - proof.as_of)},
-                       {"source", proof.source}};
+  for (const auto& [topic, state] : known_) {
+    json[topic] = Json{{"next", state.next},
+                       {"age_ms", ToMillis(now - state.as_of)},
+                       {"source", state.source}};
   }
   return json;
 }
--- a/node/topic_proofs.h
+++ b/node/topic_proofs.h
@@ -10,45 +10,50 @@
 
 namespace applehall {
 
-// Up to where a topic of the store is known, and as of when that is all of it.
+// The records of a topic that a host has, and how fresh they are.
 struct TopicProof {
-  LogOffset next = 0;
-  // Proven by an answer about this topic, or by a host that has such a proof.
+  LogOffset next = 0;  // All records before this offset are known.
+  // No other record existed at this time, as shown by an answer of the store
+  // about this topic or by the message of a host that received one.
   TimePoint as_of;
-  std::string source;  // "store", or the host whose proof it is.
+  std::string source;  // "store", or the host whose message showed it.
 };
 
-// As of when this host knows each topic of the store.
+// Tracks up to which time this host has all records of each topic of the store.
 class TopicProofs {
  public:
-  // This host knows `topic` up to `next`, now or sooner than any claim of it.
-  // Not thread-safe.
-  void Know(const std::string& topic, LogOffset next);
-  // As of `as_of`, all of `topic` stood before `next`. Proves what this host
-  // knows once that reaches as far. Not thread-safe.
-  void Prove(const std::string& topic, LogOffset next, TimePoint as_of,
-             const std::string& source);
-  // Another reader is followed; what is known and proven stays. Not
+  // Records that this host has all records of `topic` before `next`. Not
   // thread-safe.
-  void ForgetClaims() { claims_.clear(); }
-
-  bool Knows(const std::string& topic) const { return known_.contains(topic); }
-  // Nothing known: 0. Not thread-safe.
-  LogOffset Next(const std::string& topic) const;
-  // Of the topic whose proof is oldest; the epoch if one has none, or nothing
-  // is known. Not thread-safe.
+  void RecordOffset(const std::string& topic, LogOffset next);
+  // Records that `topic` ended at `next` at the time `as_of`. This counts as
+  // freshness of this host once it has all records before `next`. Not
+  // thread-safe.
+  void RecordFreshness(const std::string& topic, LogOffset next,
+                       TimePoint as_of, const std::string& source);
+  // Removes reports about records that this host does not have yet, on a change
+  // of its reader. Offsets and freshness stay. Not thread-safe.
+  void RemovePending() { pending_.clear(); }
+
+  bool Contains(const std::string& topic) const {
+    return known_.contains(topic);
+  }
+  // Returns 0 for an unknown topic. Not thread-safe.
+  LogOffset NextOffset(const std::string& topic) const;
+  // Returns the freshness of the stalest topic; the epoch if a topic has none
+  // or no topic is known. Not thread-safe.
   TimePoint AsOf() const;
-  // No reader is known to be further. Not thread-safe.
-  bool HasCaughtUp() const;
+  // Returns false if a reader has reported records that this host lacks. Not
+  // thread-safe.
+  bool IsCaughtUp() const;
   const std::map<std::string, TopicProof>& known() const { return known_; }
-  // By topic: offset, age and source of the proof. Not thread-safe.
+  // Returns, by topic, the offset, staleness and its source. Not thread-safe.
   Json ToJson(TimePoint now) const;
 
  private:
-  static void Merge(const TopicProof& claim, TopicProof& known);
+  static void Merge(const TopicProof& report, TopicProof& known);
 
   std::map<std::string, TopicProof> known_;
-  std::map<std::string, TopicProof> claims_;  // Beyond what is known.
+  std::map<std::string, TopicProof> pending_;  // Ahead of `known_`.
 };
 
 }  // namespace applehall
