--- a/node/store_relay.cc
+++ b/node/store_relay.cc
@@ -195,20 +195,20 @@
       host, follower.address, {PeerMessageType::kStoreNews, std::move(body)}});
 }
 
-void StoreRelay::AddRecords(const RetainedUpdates& retained, Follower& follower,
+void StoreRelay::AddRecords(const RetainedUpdates& entry, Follower& follower,
                             Json& body) {
-  const StoreNewsRead& read = retained.updates;
+  const StoreNewsRead& read = entry.updates;
   SentState& sent = follower.sent[read.topic];
-  const bool has_base = sent.next == read.from && !retained.patch.empty() &&
+  const bool has_base = sent.next == read.from && !entry.patch.empty() &&
                         !follower.needs_full_records;
-  const std::string& bytes = has_base ? retained.patch : read.records;
+  const std::string& bytes = has_base ? entry.patch : read.records;
   // A follower that gets no records now requests them with its next message,
   // and reads the store itself once its topics are too stale.
   if (!TrySpendBytes(bytes.size())) return;
   body["topic"] = read.topic;
   body["from"] = read.from;
   body["to"] = read.next;
-  if (has_base) body["base"] = retained.base_hash;
+  if (has_base) body["base"] = entry.base_hash;
   body[has_base ? "patch" : "records"] =
       Json::binary(std::vector<uint8_t>(bytes.begin(), bytes.end()));
   sent = {read.next, context_.now};
@@ -272,8 +272,7 @@
   const LogOffset own = context_.news.NextOffset(topic);
   const auto from = FieldOr<LogOffset>(body, "from", 0);
   if (!context_.news.Contains(topic)) {
-    return absl::FailedPreconditionError(
-        "this host has no records of the topic yet");
+    return absl::FailedPreconditionError("the topic was not read yet");
   }
   if (own >= FieldOr<LogOffset>(body, "to", 0)) {
     return absl::AlreadyExistsError("all records are known already");
--- a/node/store_relay.h
+++ b/node/store_relay.h
@@ -106,8 +106,7 @@
   void SendUpdates(const std::string& host, Follower& follower,
                    const RetainedUpdates* updates);
   int64_t LastStampFrom(const std::string& reader) const;
-  void AddRecords(const RetainedUpdates& retained, Follower& follower,
-                  Json& body);
+  void AddRecords(const RetainedUpdates& entry, Follower& follower, Json& body);
   // Returns false if relayed records have used up their share of the link for
   // now.
   bool TrySpendBytes(size_t bytes);
--- a/tests/node/configuration_text.h
+++ b/tests/node/configuration_text.h
@@ -1,4 +1,4 @@
-// Configurations of a given size, as an operator changes them.
+// Generates configurations of a given size and small changes to them.
 
 #ifndef APPLEHALL_TESTS_NODE_CONFIGURATION_TEXT_H_
 #define APPLEHALL_TESTS_NODE_CONFIGURATION_TEXT_H_
@@ -9,7 +9,7 @@
 
 namespace applehall {
 
-// A configuration whose versions differ in their number and one route.
+// A configuration whose versions differ in the version number and one route.
 class ConfigurationText {
  public:
   explicit ConfigurationText(size_t bytes) {
--- a/tests/node/news_budget_test.cc
+++ b/tests/node/news_budget_test.cc
@@ -7,9 +7,9 @@
 
 using std::chrono::milliseconds;
 
-// Guards against terms that were chosen one by one and together exceed the time
+// Guards against terms that are set one by one and whose sums exceed the time
 // within which a change must be in force.
-TEST(NewsBudgetTest, TermsAddUpToTheBoundOfAnyDeployment) {
+TEST(FreshnessBudgetTest, SumsOfTermsStayWithinTheBound) {
   for (const int bound_ms : {1000, 1500, 2000, 2500, 3000, 4000, 10000}) {
     const Duration bound = milliseconds(bound_ms);
     const NewsBudget budget = NewsBudget::Within(bound);
--- a/tests/node/news_fleet.h
+++ b/tests/node/news_fleet.h
@@ -1,5 +1,5 @@
-// Hosts of one data centre that follow the platform's store, under a paused
-// clock: their relays, their own reads, and links with a rate and a queue.
+// Simulates hosts that follow the platform's store under a paused clock: their
+// relays, their own reads, and links with a bandwidth and a queue.
 
 #ifndef APPLEHALL_TESTS_NODE_NEWS_FLEET_H_
 #define APPLEHALL_TESTS_NODE_NEWS_FLEET_H_
@@ -23,10 +23,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline constexpr char kConfigNews[] = "config";
-inline constexpr char kServerNews[] = "servers";
+inline constexpr char kConfigTopic[] = "config";
+inline constexpr char kServerTopic[] = "servers";
 
-// The log of one topic, as the store keeps it.
+// The log of one topic in the store.
 struct TopicLog {
   struct Entry {
     TimePoint acknowledged_at;
@@ -37,13 +37,13 @@
   LogOffset end() const { return entries.size(); }
 };
 
-class NewsFleet {
+class UpdateFleet {
  public:
   struct Link {
     double bytes_per_second = 0;
     TimePoint free_at;
 
-    // When `bytes` that are sent at `now` have gone.
+    // Returns when `bytes` that are queued at `now` have been transmitted.
     TimePoint Send(size_t bytes, TimePoint now) {
       const TimePoint begin = std::max(now, free_at);
       free_at =
@@ -55,11 +55,11 @@
   struct Host {
     explicit Host(NodeSettings settings) : context(std::move(settings)) {}
 
-    struct Reading {
+    struct TopicReading {
       LogOffset next = 0;
-      int calls = 0;      // To the store.
-      uint64_t call = 0;  // The one that is open; 0: none.
-      TimePoint as_of;    // Of the last answer.
+      int calls = 0;      // Calls to the store so far.
+      uint64_t call = 0;  // The open call; 0: none.
+      TimePoint as_of;    // Freshness by the last answer.
       Duration retry_pause{0};
       bool is_due = true;
     };
@@ -67,31 +67,32 @@
     StoreRelay relay{context};
     Link up;
     Link down;
-    std::map<std::string, Reading> topics;
+    std::map<std::string, TopicReading> topics;
     bool is_reading = true;
     bool is_down = false;
     bool is_frozen = false;
-    std::set<std::string> silent_topics;  // Reads of them are never answered.
-    bool is_refused = false;              // By the store.
-    TimePoint excused_until;              // Trouble of its own: it may be late.
+    // Reads of these topics are never answered.
+    std::set<std::string> unanswered_topics;
+    bool is_refused = false;  // The store rejects its calls.
+    TimePoint exempt_until;   // Delays are not recorded, due to an own fault.
   };
 
-  struct Late {
-    Duration most{0};
+  struct WorstDelay {
+    Duration max{0};
     std::string host;
     TimePoint at;
   };
 
-  explicit NewsFleet(Duration bound) : budget_(NewsBudget::Within(bound)) {}
+  explicit UpdateFleet(Duration bound) : budget_(NewsBudget::Within(bound)) {}
 
   void Restart(const std::string& name) {
     const double bytes_per_second = host(name).up.bytes_per_second;
-    const TimePoint excused_until = host(name).excused_until;
-    for (const char* topic : {kConfigNews, kServerNews}) {
+    const TimePoint exempt_until = host(name).exempt_until;
+    for (const char* topic : {kConfigTopic, kServerTopic}) {
       held_.erase({name, topic});
     }
     Host& added = Add(name, bytes_per_second / kBytesPerMegabit);
-    added.excused_until = excused_until;
+    added.exempt_until = exempt_until;
     added.relay.SetReader({readers_[name], readers_[name]});
     added.relay.SetBackup({backups_[name], backups_[name]});
   }
@@ -108,14 +109,14 @@
     host->down.bytes_per_second = mbps * kBytesPerMegabit;
     host->context.log_answered_at = now_;
     host->context.started_at = now_;
-    for (const char* topic : {kConfigNews, kServerNews}) {
+    for (const char* topic : {kConfigTopic, kServerTopic}) {
       const LogOffset end = logs_[topic].end();
       host->topics[topic].next = end;
-      Enter(name, [&](Host& h) {
-        h.relay.TakeNews({.topic = topic,
-                          .from = end,
-                          .next = end,
-                          .last_record = RecordBefore(topic, end)});
+      RunOn(name, [&](Host& h) {
+        h.relay.HandleStoreUpdates({.topic = topic,
+                                    .from = end,
+                                    .next = end,
+                                    .last_record = RecordBefore(topic, end)});
       });
     }
     return *host;
@@ -123,8 +124,8 @@
 
   Host& host(const std::string& name) { return *hosts_.at(name); }
   TimePoint now() const { return now_; }
-  const Late& late() const { return late_; }
-  void ForgetLate() { late_ = {}; }
+  const WorstDelay& worst_delay() const { return worst_delay_; }
+  void ResetWorstDelay() { worst_delay_ = {}; }
   int calls() const {
     int sum = 0;
     for (const auto& [name, host] : hosts_) {
@@ -135,7 +136,7 @@
   size_t bytes_between_hosts() const { return bytes_between_hosts_; }
   size_t store_bytes() const { return store_bytes_; }
 
-  // Of the hosts of a data centre: those whose names begin with `centre`.
+  // Sets the reader of the hosts whose names begin with `centre`.
   void SetReader(const std::string& name, const std::string& centre = "") {
     for (auto& [own, host] : hosts_) {
       if (!own.starts_with(centre)) continue;
@@ -151,44 +152,43 @@
     }
   }
 
-  // `name` does not know what the last record of `topic` says.
-  void ForgetBase(const std::string& name, const std::string& topic) {
-    Enter(name, [&](Host& h) {
-      h.relay.TakeNews({.topic = topic,
-                        .from = logs_[topic].end(),
-                        .next = logs_[topic].end(),
-                        .last_record = "another record"});
+  // Replaces the base record of `topic` at `name` by another one.
+  void ReplaceBase(const std::string& name, const std::string& topic) {
+    RunOn(name, [&](Host& h) {
+      h.relay.HandleStoreUpdates({.topic = topic,
+                                  .from = logs_[topic].end(),
+                                  .next = logs_[topic].end(),
+                                  .last_record = "another record"});
     });
   }
 
-  // The process ends; it starts again after `down` and reads all newest
-  // records.
-  void Kill(const std::string& name, Duration down, Duration excused) {
+  // Ends the process; it restarts after `down` with the newest records.
+  void Kill(const std::string& name, Duration down, Duration exempt) {
     host(name).is_down = true;
-    Excuse(name, down + excused);
-    At(now_ + down, [this, name] { Restart(name); });
+    Exempt(name, down + exempt);
+    Schedule(now_ + down, [this, name] { Restart(name); });
   }
-  // The process stands still.
-  void Freeze(const std::string& name, Duration duration, Duration excused) {
+  // Suspends the process for `duration`.
+  void Freeze(const std::string& name, Duration duration, Duration exempt) {
     if (host(name).is_down) return;
     host(name).is_frozen = true;
-    Excuse(name, duration + excused);
-    At(now_ + duration, [this, name] { host(name).is_frozen = false; });
+    Exempt(name, duration + exempt);
+    Schedule(now_ + duration, [this, name] { host(name).is_frozen = false; });
   }
-  void Excuse(const std::string& name, Duration duration) {
-    TimePoint& until = host(name).excused_until;
+  void Exempt(const std::string& name, Duration duration) {
+    TimePoint& until = host(name).exempt_until;
     until = std::max(until, now_ + duration);
   }
-  // Of all messages between hosts that are lost on their way.
+  // Sets the share of the messages between hosts that are lost.
   void SetLoss(double share) { loss_ = share; }
 
-  // The store acknowledges a record now.
+  // Appends a record, which the store acknowledges now.
   void Append(const std::string& topic, std::string bytes) {
     logs_[topic].entries.push_back({now_, std::move(bytes)});
-    for (auto& [name, host] : hosts_) AnswerIfNews(name, topic);
+    for (auto& [name, host] : hosts_) AnswerIfUpdated(name, topic);
   }
 
-  void At(TimePoint when, std::function<void()> what) {
+  void Schedule(TimePoint when, std::function<void()> what) {
     events_.push({when, ++event_count_, std::move(what)});
   }
 
@@ -197,7 +197,7 @@
     while (now_ < end) {
       const TimePoint next_tick = ticked_at_ + kTick;
       if (!events_.empty() && events_.top().at <= next_tick) {
-        const EventAt event = events_.top();
+        const TimedEvent event = events_.top();
         events_.pop();
         now_ = std::max(now_, event.at);
         event.what();
@@ -214,26 +214,28 @@
   static constexpr Duration kOneWay = milliseconds(1);
   static constexpr Duration kStoreTime = milliseconds(4);
   static constexpr size_t kRequestBytes = 300;
-  static constexpr Duration kPause = milliseconds(100);
+  static constexpr Duration kPauseAfterUpdate = milliseconds(100);
 
-  struct EventAt {
+  struct TimedEvent {
     TimePoint at;
     uint64_t order;
     std::function<void()> what;
-    bool operator<(const EventAt& other) const {
+    bool operator<(const TimedEvent& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
   };
-  // A read that the store holds until there are news.
-  struct Held {
+  // A read that the store holds until there are new records.
+  struct HeldRead {
     uint64_t call = 0;
     LogOffset from = 0;
   };
 
-  bool Runs(const Host& host) const { return !host.is_down && !host.is_frozen; }
+  bool IsRunning(const Host& host) const {
+    return !host.is_down && !host.is_frozen;
+  }
 
   template <typename Fn>
-  void Enter(const std::string& name, Fn&& fn) {
+  void RunOn(const std::string& name, Fn&& fn) {
     Host& host = *hosts_.at(name);
     std::vector<Action> actions;
     host.context.now = now_;
@@ -244,23 +246,24 @@
 
   void Perform(const std::string& name, Host& host, const Action& action) {
     if (const auto* sent = std::get_if<SendPeer>(&action)) {
-      Carry(name, *sent);
+      Transmit(name, *sent);
     } else if (const auto* follow = std::get_if<FollowStore>(&action)) {
       host.is_reading = follow->is_reading;
       for (auto& [topic, reading] : host.topics) {
         reading.as_of = std::max(reading.as_of, follow->as_of);
         if (reading.call == 0) reading.is_due = true;
       }
-    } else if (const auto* news = std::get_if<TakeStoreNews>(&action)) {
-      Host::Reading& reading = host.topics.at(news->topic);
-      if (reading.next < news->from || reading.next >= news->next) return;
-      EXPECT_EQ(news->records, Bytes(news->topic, news->from, news->next));
-      reading.next = news->next;
-      const std::string topic = news->topic;
-      const LogOffset from = news->from;
-      At(now_, [this, name, topic, from] {
-        Enter(name, [&](Host& h) {
-          h.relay.TakeNews(
+    } else if (const auto* updates = std::get_if<TakeStoreNews>(&action)) {
+      Host::TopicReading& reading = host.topics.at(updates->topic);
+      if (reading.next < updates->from || reading.next >= updates->next) return;
+      EXPECT_EQ(updates->records,
+                Bytes(updates->topic, updates->from, updates->next));
+      reading.next = updates->next;
+      const std::string topic = updates->topic;
+      const LogOffset from = updates->from;
+      Schedule(now_, [this, name, topic, from] {
+        RunOn(name, [&](Host& h) {
+          h.relay.HandleStoreUpdates(
               {.topic = topic,
                .from = from,
                .next = h.topics.at(topic).next,
@@ -270,7 +273,7 @@
     }
   }
 
-  void Carry(const std::string& from, const SendPeer& sent) {
+  void Transmit(const std::string& from, const SendPeer& sent) {
     if (!hosts_.contains(sent.host)) return;
     if (random_.Unit() < loss_) return;
     const std::vector<uint8_t> bytes = sent.message.Encode();
@@ -281,9 +284,9 @@
     const std::string to = sent.host;
     const PeerMessage message = sent.message;
     const size_t size = bytes.size() + kOverhead;
-    At(gone + kOneWay, [this, from, to, message, size] {
-      At(hosts_.at(to)->down.Send(size, now_),
-         [this, from, to, message] { Deliver(from, to, message); });
+    Schedule(gone + kOneWay, [this, from, to, message, size] {
+      Schedule(hosts_.at(to)->down.Send(size, now_),
+               [this, from, to, message] { Deliver(from, to, message); });
     });
   }
 
@@ -292,15 +295,15 @@
     Host& host = *hosts_.at(to);
     if (host.is_down) return;
     if (host.is_frozen) {
-      At(now_ + kTick,
-         [this, from, to, message] { Deliver(from, to, message); });
+      Schedule(now_ + kTick,
+               [this, from, to, message] { Deliver(from, to, message); });
       return;
     }
-    Enter(to, [&](Host& h) {
+    RunOn(to, [&](Host& h) {
       if (message.type == PeerMessageType::kStoreFollow) {
-        h.relay.TakeFollow(from, message.body);
+        h.relay.HandleFollow(from, message.body);
       } else if (message.type == PeerMessageType::kStoreNews) {
-        h.relay.TakeRelayed(from, message.body);
+        h.relay.HandleRelayedUpdates(from, message.body);
       }
     });
   }
@@ -318,11 +321,11 @@
     return end == 0 ? "" : logs_.at(topic).entries[end - 1].bytes;
   }
 
-  // ---- Own reads, as platform/store_client makes them ----
+  // ---- Own reads, with the timing of platform/store_client ----
 
-  void Ask(const std::string& name, const std::string& topic) {
+  void StartRead(const std::string& name, const std::string& topic) {
     Host& host = *hosts_.at(name);
-    Host::Reading& reading = host.topics.at(topic);
+    Host::TopicReading& reading = host.topics.at(topic);
     reading.is_due = false;
     const uint64_t call = ++call_count_;
     reading.call = call;
@@ -331,87 +334,87 @@
     const LogOffset from = reading.next;
     const TimePoint asked_at = now_;
     const bool reads_newest =
-        topic == kConfigNews && now_ - reading.as_of > budget_.bound;
-    // Once the head of an answer is there, its body has its time.
-    At(now_ + wait + budget_.read_timeout, [this, name, topic, call] {
-      if (!begun_.contains(call)) Fail(name, topic, call);
+        topic == kConfigTopic && now_ - reading.as_of > budget_.bound;
+    // The timeout only applies until the headers of the answer are received.
+    Schedule(now_ + wait + budget_.read_timeout, [this, name, topic, call] {
+      if (!answers_begun_.contains(call)) FailRead(name, topic, call);
     });
-    const bool is_silent =
-        host.silent_topics.contains(topic) || host.is_refused;
+    const bool is_unanswered =
+        host.unanswered_topics.contains(topic) || host.is_refused;
     const TimePoint gone = host.up.Send(kRequestBytes, now_);
-    if (is_silent) return;
-    At(gone + kOneWay,
-       [this, name, topic, call, from, wait, asked_at, reads_newest] {
-         calls_[call] = {asked_at, wait};
-         if (reads_newest) {
-           AnswerNewest(name, topic, call);
-           return;
-         }
-         held_[{name, topic}] = {call, from};
-         AnswerIfNews(name, topic);
-         At(now_ + wait, [this, name, topic, call] {
-           const auto held = held_.find({name, topic});
-           if (held == held_.end() || held->second.call != call) return;
-           held_.erase(held);
-           Answer(name, topic, call, 0);
-         });
-       });
+    if (is_unanswered) return;
+    Schedule(gone + kOneWay,
+             [this, name, topic, call, from, wait, asked_at, reads_newest] {
+               calls_[call] = {asked_at, wait};
+               if (reads_newest) {
+                 AnswerWithNewest(name, topic, call);
+                 return;
+               }
+               held_[{name, topic}] = {call, from};
+               AnswerIfUpdated(name, topic);
+               Schedule(now_ + wait, [this, name, topic, call] {
+                 const auto held = held_.find({name, topic});
+                 if (held == held_.end() || held->second.call != call) return;
+                 held_.erase(held);
+                 AnswerRead(name, topic, call, 0);
+               });
+             });
   }
 
-  void AnswerIfNews(const std::string& name, const std::string& topic) {
+  void AnswerIfUpdated(const std::string& name, const std::string& topic) {
     const auto held = held_.find({name, topic});
     if (held == held_.end() || logs_[topic].end() <= held->second.from) return;
-    const Held read = held->second;
+    const HeldRead read = held->second;
     held_.erase(held);
-    Answer(name, topic, read.call, logs_[topic].end());
+    AnswerRead(name, topic, read.call, logs_[topic].end());
   }
 
-  // `to` is 0 if there are no news.
-  void Answer(const std::string& name, const std::string& topic, uint64_t call,
-              LogOffset to) {
-    const Host& asker = *hosts_.at(name);
-    if (asker.silent_topics.contains(topic) || asker.is_refused) return;
-    const LogOffset from = asker.topics.at(topic).next;
+  // `to` is 0 if there are no new records.
+  void AnswerRead(const std::string& name, const std::string& topic,
+                  uint64_t call, LogOffset to) {
+    const Host& host = *hosts_.at(name);
+    if (host.unanswered_topics.contains(topic) || host.is_refused) return;
+    const LogOffset from = host.topics.at(topic).next;
     const size_t size =
         kRequestBytes + (to > from ? Bytes(topic, from, to).size() : 0);
-    At(now_ + kStoreTime, [this, name, topic, call, from, to, size] {
-      BeginAnswer(name, call, size);
-      At(hosts_.at(name)->down.Send(size, now_) + kOneWay,
-         [this, name, topic, call, from, to] {
-           TakeAnswer(name, topic, call, from, to);
-         });
+    Schedule(now_ + kStoreTime, [this, name, topic, call, from, to, size] {
+      SendHeaders(name, call, size);
+      Schedule(hosts_.at(name)->down.Send(size, now_) + kOneWay,
+               [this, name, topic, call, from, to] {
+                 HandleAnswer(name, topic, call, from, to);
+               });
     });
   }
 
-  // The head arrives as soon as what is queued before it has.
-  void BeginAnswer(const std::string& name, uint64_t call, size_t bytes) {
+  // The headers arrive as soon as the data queued before them has.
+  void SendHeaders(const std::string& name, uint64_t call, size_t bytes) {
     store_bytes_ += bytes;
-    At(std::max(now_, hosts_.at(name)->down.free_at) + kOneWay,
-       [this, call] { begun_.insert(call); });
+    Schedule(std::max(now_, hosts_.at(name)->down.free_at) + kOneWay,
+             [this, call] { answers_begun_.insert(call); });
   }
 
-  // The last record alone, in base64.
-  void AnswerNewest(const std::string& name, const std::string& topic,
-                    uint64_t call) {
+  // Answers with the last record only, in base64.
+  void AnswerWithNewest(const std::string& name, const std::string& topic,
+                        uint64_t call) {
     const LogOffset to = logs_[topic].end();
     const size_t size = kRequestBytes + 4 * RecordBefore(topic, to).size() / 3;
-    At(now_ + kStoreTime, [this, name, topic, call, to, size] {
-      BeginAnswer(name, call, size);
-      At(hosts_.at(name)->down.Send(size, now_) + kOneWay,
-         [this, name, topic, call, to] {
-           TakeAnswer(name, topic, call, /*from=*/to, to);
-         });
+    Schedule(now_ + kStoreTime, [this, name, topic, call, to, size] {
+      SendHeaders(name, call, size);
+      Schedule(hosts_.at(name)->down.Send(size, now_) + kOneWay,
+               [this, name, topic, call, to] {
+                 HandleAnswer(name, topic, call, /*from=*/to, to);
+               });
     });
   }
 
-  void TakeAnswer(const std::string& name, const std::string& topic,
-                  uint64_t call, LogOffset from, LogOffset to) {
+  void HandleAnswer(const std::string& name, const std::string& topic,
+                    uint64_t call, LogOffset from, LogOffset to) {
     Host& host = *hosts_.at(name);
-    Host::Reading& reading = host.topics.at(topic);
+    Host::TopicReading& reading = host.topics.at(topic);
     if (host.is_down || reading.call != call) return;
     if (host.is_frozen) {
-      At(now_ + kTick, [this, name, topic, call, from, to] {
-        TakeAnswer(name, topic, call, from, to);
+      Schedule(now_ + kTick, [this, name, topic, call, from, to] {
+        HandleAnswer(name, topic, call, from, to);
       });
       return;
     }
@@ -419,27 +422,31 @@
     reading.retry_pause = Duration{0};
     const auto [asked_at, wait] = calls_.at(call);
     calls_.erase(call);
-    const bool has_news = to > reading.next;
-    begun_.erase(call);
+    const bool has_updates = to > reading.next;
+    answers_begun_.erase(call);
     const TimePoint as_of = to == 0 ? asked_at + wait : asked_at;
     reading.as_of = std::max(reading.as_of, as_of);
-    if (has_news) reading.next = to;
-    Enter(name, [&](Host& h) {
+    if (has_updates) reading.next = to;
+    RunOn(name, [&](Host& h) {
       h.context.NoteLogAnswer(now_);
-      h.relay.TakeNews({.topic = topic,
-                        .from = has_news ? from : reading.next,
-                        .next = reading.next,
-                        .records = has_news ? Bytes(topic, from, to) : "",
-                        .last_record = has_news ? RecordBefore(topic, to) : "",
-                        .as_of = as_of});
+      h.relay.HandleStoreUpdates(
+          {.topic = topic,
+           .from = has_updates ? from : reading.next,
+           .next = reading.next,
+           .records = has_updates ? Bytes(topic, from, to) : "",
+           .last_record = has_updates ? RecordBefore(topic, to) : "",
+           .as_of = as_of});
     });
-    DueAfter(name, topic,
-             has_news ? std::min(kPause, UntilRenewal(reading)) : Duration{0});
+    ScheduleRead(name, topic,
+                 has_updates
+                     ? std::min(kPauseAfterUpdate, UntilRenewal(reading))
+                     : Duration{0});
   }
 
-  void Fail(const std::string& name, const std::string& topic, uint64_t call) {
+  void FailRead(const std::string& name, const std::string& topic,
+                uint64_t call) {
     Host& host = *hosts_.at(name);
-    Host::Reading& reading = host.topics.at(topic);
+    Host::TopicReading& reading = host.topics.at(topic);
     if (host.is_down || reading.call != call) return;
     held_.erase({name, topic});
     reading.call = 0;
@@ -447,60 +454,62 @@
     host.context.log_failed = true;
     reading.retry_pause = std::clamp(2 * reading.retry_pause,
                                      budget_.retry_pause, 2 * budget_.beat);
-    DueAfter(name, topic, reading.retry_pause);
+    ScheduleRead(name, topic, reading.retry_pause);
   }
 
-  Duration UntilRenewal(const Host::Reading& reading) const {
+  Duration UntilRenewal(const Host::TopicReading& reading) const {
     const Duration age = now_ - reading.as_of;
     return std::clamp(budget_.renewal - age, Duration{0}, budget_.renewal);
   }
 
-  void DueAfter(const std::string& name, const std::string& topic,
-                Duration pause) {
-    At(now_ + pause, [this, name, topic] {
+  void ScheduleRead(const std::string& name, const std::string& topic,
+                    Duration pause) {
+    Schedule(now_ + pause, [this, name, topic] {
       hosts_.at(name)->topics.at(topic).is_due = true;
     });
   }
 
   void Tick() {
     for (auto& [name, host] : hosts_) {
-      if (!Runs(*host)) continue;
-      Enter(name, [](Host& h) { h.relay.RunTick(); });
+      if (!IsRunning(*host)) continue;
+      RunOn(name, [](Host& h) { h.relay.RunTick(); });
       for (auto& [topic, reading] : host->topics) {
         if (host->is_reading && reading.is_due && reading.call == 0) {
-          Ask(name, topic);
+          StartRead(name, topic);
         }
       }
-      NoteLate(name, *host);
+      RecordDelay(name, *host);
     }
   }
 
-  // How long ago the oldest record was acknowledged that `host` does not know.
-  void NoteLate(const std::string& name, const Host& host) {
-    if (now_ < host.excused_until) return;
+  // Records the time since the oldest record that `host` lacks was
+  // acknowledged.
+  void RecordDelay(const std::string& name, const Host& host) {
+    if (now_ < host.exempt_until) return;
     for (const auto& [topic, reading] : host.topics) {
       const TopicLog& log = logs_[topic];
       if (reading.next >= log.end()) continue;
-      const Duration late = now_ - log.entries[reading.next].acknowledged_at;
-      if (late > late_.most) late_ = {late, name, now_};
+      const Duration delay = now_ - log.entries[reading.next].acknowledged_at;
+      if (delay > worst_delay_.max) worst_delay_ = {delay, name, now_};
     }
   }
 
   NewsBudget budget_;
   TimePoint now_{std::chrono::hours(500000)};
   TimePoint ticked_at_ = now_;
-  std::map<std::string, TopicLog> logs_{{kConfigNews, {}}, {kServerNews, {}}};
+  std::map<std::string, TopicLog> logs_{{kConfigTopic, {}}, {kServerTopic, {}}};
   std::map<std::string, std::unique_ptr<Host>> hosts_;
-  std::map<std::pair<std::string, std::string>, Held> held_;
-  // When each open call was made, and how long it may wait.
+  std::map<std::pair<std::string, std::string>, HeldRead> held_;
+  // Start and maximum wait of each open call.
   std::map<uint64_t, std::pair<TimePoint, Duration>> calls_;
-  std::set<uint64_t> begun_;  // Of them, those whose answer has begun to come.
-  std::priority_queue<EventAt> events_;
+  // Calls whose answer headers were received.
+  std::set<uint64_t> answers_begun_;
+  std::priority_queue<TimedEvent> events_;
   uint64_t event_count_ = 0;
   uint64_t call_count_ = 0;
   size_t bytes_between_hosts_ = 0;
-  size_t store_bytes_ = 0;  // Of its answers.
-  Late late_;
+  size_t store_bytes_ = 0;  // Size of the store's answers.
+  WorstDelay worst_delay_;
   std::map<std::string, std::string> readers_;  // By follower.
   std::map<std::string, std::string> backups_;
   Random random_{20261203};
--- a/tests/node/reader_choice_test.cc
+++ b/tests/node/reader_choice_test.cc
@@ -17,9 +17,10 @@
   return peer;
 }
 
-// Guards against a reader whose link is filled by what it passes on: it learns
-// seconds late that its callers have left, and works for nobody.
-TEST(ReaderChoiceTest, HostWithANarrowLinkReadsOnlyIfNoOtherCan) {
+// Guards against a reader whose link is saturated by the updates it relays: it
+// notices seconds late that callers have disconnected and runs their requests
+// in vain.
+TEST(ReaderChoiceTest, HostWithANarrowLinkIsSelectedOnlyIfNoOtherCanRead) {
   FleetPeers peers{{"narrow", Peer(0.5, 10)}, {"wide", Peer(0.12, 200)}};
   ReaderChoice readers(peers);
   EXPECT_EQ(readers.Reader("hall", kNow).host, "wide");
@@ -27,7 +28,7 @@
   EXPECT_EQ(readers.Reader("hall", kNow).host, "narrow");
 }
 
-TEST(ReaderChoiceTest, AmongWideLinksMostProcessorReads) {
+TEST(ReaderChoiceTest, HostWithTheLargestCpuShareIsSelectedAmongWideLinks) {
   FleetPeers peers{
       {"a", Peer(0.12, 1000)}, {"b", Peer(0.5, 200)}, {"untold", Peer(0.3, 0)}};
   ReaderChoice readers(peers);
@@ -35,15 +36,16 @@
   EXPECT_EQ(readers.Backup("hall", "b", kNow).host, "untold");
 }
 
-// Guards against a reader that a new owner chose before it had heard the fleet,
-// and kept for as long as it lived.
-TEST(ReaderChoiceTest, NarrowReaderMakesWayForAWiderOneThatIsHeardLater) {
+// Guards against a new owner that selects a reader before all hosts have
+// reported and keeps it for good.
+TEST(ReaderChoiceTest,
+     ReaderWithANarrowLinkIsReplacedByALaterOneWithAWideLink) {
   FleetPeers peers{{"narrow", Peer(0.5, 10)}};
   ReaderChoice readers(peers);
   EXPECT_EQ(readers.Reader("hall", kNow).host, "narrow");
   peers["wide"] = Peer(0.12, 200);
   EXPECT_EQ(readers.Reader("hall", kNow).host, "wide");
-  // Of two with the same link the one that reads already goes on.
+  // Of two hosts with equal links the current reader is kept.
   peers["strong"] = Peer(0.5, 200);
   EXPECT_EQ(readers.Reader("hall", kNow).host, "wide");
 }
--- a/tests/node/store_relay_test.cc
+++ b/tests/node/store_relay_test.cc
@@ -17,7 +17,7 @@
 constexpr Duration kTrust = kBudget.trust;
 
 // Two hosts of a data centre, the link between them and a store with one topic
-// to which a record comes every 100 ms.
+// that gets a record every 100 ms.
 class StoreRelayTest : public testing::Test {
  protected:
   struct Host {
@@ -31,8 +31,8 @@
     }
     NodeContext context;
     StoreRelay relay{context};
-    LogOffset next = 0;  // What it knows of the topic.
-    int calls = 0;       // To the store.
+    LogOffset next = 0;  // It has all records of the topic before this.
+    int calls = 0;       // Calls to the store.
     bool is_down = false;
     bool has_store = true;
   };
@@ -52,7 +52,7 @@
   Host& reader() { return *hosts_["reader"]; }
   Host& follower() { return *hosts_["follower"]; }
 
-  // Every host's own read, if it reads: all that is new comes at once.
+  // Reads all new records at once if `host` reads the store itself.
   void ReadStore(Host& host) {
     if (!host.relay.reads_itself()) return;
     ++host.calls;
@@ -62,11 +62,11 @@
     }
     host.context.NoteLogAnswer(now_);
     const LogOffset from = std::exchange(host.next, end_);
-    host.relay.TakeNews({.topic = kTopic,
-                         .from = from,
-                         .next = end_,
-                         .records = from == end_ ? "" : "records",
-                         .as_of = now_});
+    host.relay.HandleStoreUpdates({.topic = kTopic,
+                                   .from = from,
+                                   .next = end_,
+                                   .records = from == end_ ? "" : "records",
+                                   .as_of = now_});
   }
 
   void Perform(const std::string& name, Host& host,
@@ -74,10 +74,10 @@
     for (const Action& action : actions) {
       if (const auto* sent = std::get_if<SendPeer>(&action)) {
         if (!is_link_cut_) link_.push_back({now_ + delay_, name, *sent});
-      } else if (const auto* news = std::get_if<TakeStoreNews>(&action)) {
-        ASSERT_LE(news->from, host.next) << "a gap";
-        host.next = std::max(host.next, news->next);
-        relayed_records_ += news->records.size();
+      } else if (const auto* updates = std::get_if<TakeStoreNews>(&action)) {
+        ASSERT_LE(updates->from, host.next) << "a gap";
+        host.next = std::max(host.next, updates->next);
+        relayed_records_ += updates->records.size();
       }
     }
   }
@@ -108,11 +108,11 @@
     host.context.actions = &actions;
     const PeerMessage& body = message.sent.message;
     if (body.type == PeerMessageType::kStoreFollow) {
-      host.relay.TakeFollow(message.from, body.body);
+      host.relay.HandleFollow(message.from, body.body);
     } else {
-      link_seen_ = body.body;
-      if (body.body.contains("to")) ++told_[body.body["to"].get<LogOffset>()];
-      host.relay.TakeRelayed(message.from, body.body);
+      last_relayed_ = body.body;
+      if (body.body.contains("to")) ++copies_[body.body["to"].get<LogOffset>()];
+      host.relay.HandleRelayedUpdates(message.from, body.body);
     }
     Perform(message.sent.host, host, actions);
   }
@@ -121,7 +121,7 @@
     for (const TimePoint end = now_ + duration; now_ < end;) Step();
   }
 
-  void Follow() {
+  void StartFollowing() {
     for (auto& [name, host] : hosts_) {
       host->relay.SetReader({"reader", "reader"});
     }
@@ -135,27 +135,27 @@
   std::deque<Message> link_;
   Duration delay_{0};
   bool is_link_cut_ = false;
-  Json link_seen_;  // The last news that arrived somewhere.
+  Json last_relayed_;  // The last kStoreNews message that was delivered.
   size_t relayed_records_ = 0;
-  std::map<LogOffset, int> told_;  // How often news up to there arrived.
+  // Copies delivered of the records up to each offset.
+  std::map<LogOffset, int> copies_;
   int steps_ = 0;
 };
 
-TEST_F(StoreRelayTest, FollowerTakesTheNewsWithoutCalls) {
-  Follow();
+TEST_F(StoreRelayTest, FollowerAppliesUpdatesWithoutCallsToTheStore) {
+  StartFollowing();
   const int calls = follower().calls;
   Run(seconds(10));
   EXPECT_EQ(follower().calls, calls);
   EXPECT_GT(reader().calls, 40);
-  EXPECT_GE(follower().next + 2, end_) << "as recent as the reader's reads";
+  EXPECT_GE(follower().next + 2, end_) << "the follower lags behind the reader";
   EXPECT_GT(relayed_records_, 0u);
 }
 
-// The host that reads for its data centre loses power just as the operator
-// changes the rules. The others hear nothing of it and would serve by the old
-// rules until somebody noticed.
-TEST_F(StoreRelayTest, FollowerOfADeadReaderReadsForItselfInTime) {
-  Follow();
+// Guards against followers that keep serving by old rules after their reader
+// has crashed.
+TEST_F(StoreRelayTest, FollowerReadsTheStoreInTimeAfterItsReaderCrashes) {
+  StartFollowing();
   reader().is_down = true;
   Run(kTrust + milliseconds(50));
   EXPECT_TRUE(follower().relay.reads_itself());
@@ -163,10 +163,10 @@
   EXPECT_GE(follower().next + 2, end_);
 }
 
-// A reader is cut off from the store, but not from the hosts that follow it.
-// Its messages go on and say nothing of what happened meanwhile.
-TEST_F(StoreRelayTest, ReaderWithoutStoreVouchesForNothing) {
-  Follow();
+// Guards against trust in a reader that is partitioned from the store but still
+// sends heartbeats to its followers.
+TEST_F(StoreRelayTest, FollowerReadsTheStoreWhileItsReaderCannot) {
+  StartFollowing();
   reader().has_store = false;
   Run(kTrust + milliseconds(400));
   EXPECT_TRUE(follower().relay.reads_itself());
@@ -176,11 +176,10 @@
   EXPECT_FALSE(follower().relay.reads_itself());
 }
 
-// Messages are held up on a link for seconds and come all at once when it
-// heals. By the time on their arrival they look recent, though each tells of a
-// time long past.
-TEST_F(StoreRelayTest, MessagesThatWereHeldUpProveNothing) {
-  Follow();
+// Guards against messages that were delayed on a link for seconds: by their
+// time of arrival they look recent, although their contents are stale.
+TEST_F(StoreRelayTest, DelayedMessagesDoNotRenewFreshness) {
+  StartFollowing();
   delay_ = seconds(3);
   Run(seconds(2));
   ASSERT_TRUE(follower().relay.reads_itself());
@@ -189,10 +188,10 @@
   EXPECT_GE(follower().next + 2, end_);
 }
 
-// The link drops messages, as it does when too much is queued. Records are
-// missing in between; what comes after them must not be taken alone.
-TEST_F(StoreRelayTest, FollowerReadsWhatItMissed) {
-  Follow();
+// Guards against records that are applied after a gap. The gap comes about when
+// the link drops messages, as it does when its queue is full.
+TEST_F(StoreRelayTest, FollowerRecoversRecordsOfLostMessages) {
+  StartFollowing();
   is_link_cut_ = true;
   Run(milliseconds(500));
   is_link_cut_ = false;
@@ -201,21 +200,22 @@
   EXPECT_GE(follower().next + 2, end_);
 }
 
-// Guards against news that are sent again while they are under way, and so add
-// to what they wait behind on a slow link.
-TEST_F(StoreRelayTest, NewsUnderWayAreNotSentAgain) {
-  Follow();
+// Guards against records that are sent again while they are in transit, which
+// lengthens the queue on a slow link.
+TEST_F(StoreRelayTest, RecordsInTransitAreNotSentAgain) {
+  StartFollowing();
   Run(seconds(1));
-  told_.clear();
+  copies_.clear();
   delay_ = milliseconds(400);
   Run(seconds(4));
-  ASSERT_GT(told_.size(), 10u);
-  for (const auto& [to, count] : told_) EXPECT_EQ(count, 1) << to;
+  ASSERT_GT(copies_.size(), 10u);
+  for (const auto& [to, count] : copies_) EXPECT_EQ(count, 1) << to;
 }
 
-// A process that stood still believes what was proven before it stopped.
-TEST_F(StoreRelayTest, WokenFollowerReadsForItself) {
-  Follow();
+// Guards against a process that was suspended and resumes with freshness
+// recorded before that.
+TEST_F(StoreRelayTest, SuspendedFollowerReadsTheStoreOnResume) {
+  StartFollowing();
   follower().is_down = true;
   Run(seconds(3));
   follower().is_down = false;
@@ -224,8 +224,8 @@
   EXPECT_TRUE(follower().relay.reads_itself());
 }
 
-TEST_F(StoreRelayTest, ReaderThatIsReplacedReadsOn) {
-  Follow();
+TEST_F(StoreRelayTest, ReplacedReaderFollowsTheNewOne) {
+  StartFollowing();
   reader().relay.SetReader({"follower", "follower"});
   follower().relay.SetReader({"follower", "follower"});
   Run(seconds(3));
@@ -234,18 +234,19 @@
   EXPECT_GE(reader().next + 2, end_);
 }
 
-// The store turns a host away, and the reader it follows loses power. Nobody
-// names another, as the placement owner is gone too. The host went on without
-// the news that came in those seconds, and refused callers of a new route.
-TEST_F(StoreRelayTest, RefusedHostTurnsToTheBackup) {
+// Guards against a host that refuses callers of a new route because it got no
+// updates: the store rejects its calls, its reader has crashed, and so has the
+// placement owner that would assign another.
+TEST_F(StoreRelayTest, RefusedHostFollowsTheBackupAfterItsReaderCrashes) {
   hosts_["backup"] = std::make_unique<Host>("backup");
   hosts_["backup"]->context.log_answered_at = now_;
   for (auto& [name, host] : hosts_) host->relay.SetBackup({"backup", "backup"});
-  Follow();
+  StartFollowing();
   ASSERT_FALSE(hosts_["backup"]->relay.reads_itself());
   follower().has_store = false;
   reader().is_down = true;
-  // The trust in the reader and the backup's, its read and a beat of 0.5 s.
+  // The maximum staleness of the reader and of the backup, plus the backup's
+  // read and a heartbeat interval of 0.5 s.
   Run(2 * kTrust + milliseconds(700));
   EXPECT_GE(follower().next + 4, end_);
   Run(seconds(2));
@@ -253,10 +254,11 @@
   EXPECT_GE(follower().next + 4, end_);
 }
 
-// A message with news is lost on its way to a host that the store turns away.
-// What came after it could not be taken, and nobody told the lost part again.
-TEST_F(StoreRelayTest, RefusedHostIsToldAgainWhatItMissed) {
-  Follow();
+// Guards against a gap that is never closed: a message with records is lost on
+// its way to a host whose calls the store rejects, and later records cannot be
+// applied without them.
+TEST_F(StoreRelayTest, RefusedHostIsSentLostRecordsAgain) {
+  StartFollowing();
   follower().has_store = false;
   is_link_cut_ = true;
   Run(milliseconds(500));
@@ -265,22 +267,22 @@
   EXPECT_GE(follower().next + 4, end_);
 }
 
-// Who holds the lease is passed on with the news: a host that the store turns
-// away could not read it, and its callers' models were loaded for nobody.
-TEST_F(StoreRelayTest, HolderOfTheLeaseIsPassedOn) {
+// Guards against a host whose calls the store rejects and that cannot read the
+// lease: it has no owner to report its demand to, so its models are not loaded.
+TEST_F(StoreRelayTest, LeaseHolderIsRelayedWithUpdates) {
   reader().relay.SetOwner({{"owner", "10.0.0.1:7000"}, 7});
-  Follow();
-  ASSERT_FALSE(link_seen_.empty());
-  const KnownOwner owner = StoreRelay::OwnerIn(link_seen_);
+  StartFollowing();
+  ASSERT_FALSE(last_relayed_.empty());
+  const KnownOwner owner = StoreRelay::ParseOwner(last_relayed_);
   EXPECT_EQ(owner.peer.host, "owner");
   EXPECT_EQ(owner.peer.address, "10.0.0.1:7000");
   EXPECT_EQ(owner.token, 7u);
-  EXPECT_TRUE(
-      StoreRelay::OwnerIn(*ParseJson(R"({"o": ["x", 1]})")).peer.host.empty());
+  EXPECT_TRUE(StoreRelay::ParseOwner(*ParseJson(R"({"o": ["x", 1]})"))
+                  .peer.host.empty());
 }
 
-TEST_F(StoreRelayTest, MalformedNewsAreIgnored) {
-  Follow();
+TEST_F(StoreRelayTest, MalformedUpdatesAreIgnored) {
+  StartFollowing();
   const LogOffset next = follower().next;
   for (
       const char* text :
@@ -288,7 +290,7 @@
        R"({"next": {}, "topic": "servers", "from": 0, "to": 99, "records": 1})"}) {
     std::vector<Action> actions;
     follower().context.actions = &actions;
-    follower().relay.TakeRelayed("reader", *ParseJson(text));
+    follower().relay.HandleRelayedUpdates("reader", *ParseJson(text));
     EXPECT_TRUE(actions.empty()) << text;
   }
   EXPECT_EQ(follower().next, next);
--- a/tests/node/team_test.cc
+++ b/tests/node/team_test.cc
@@ -1,4 +1,4 @@
-// Requests of teams: who they run for, who is refused, and who pays.
+// Requests of teams: assignment by API key, refusals and quotas.
 
 #include "core/request_fingerprint.h"
 #include "tests/node/fleet_fixture.h"
@@ -21,13 +21,14 @@
  protected:
   void SetUp() override {
     Add("a");
-    Install(2, {{"studs", "key-1"}, {"agents", "key-2"}});
+    InstallTeams(2, {{"studs", "key-1"}, {"agents", "key-2"}});
   }
 
-  // Each team holds one key; "studs" goes first at engines.
-  void Install(LogOffset version,
-               const std::map<std::string, std::string>& keys,
-               double limit = 0) {
+  // Installs teams with one key each; "studs" has the highest priority at
+  // engines.
+  void InstallTeams(LogOffset version,
+                    const std::map<std::string, std::string>& keys,
+                    double limit = 0) {
     auto book = std::make_shared<TeamBook>();
     for (const auto& [name, key] : keys) {
       Team team;
@@ -43,9 +44,9 @@
     }
   }
 
-  void Ask(const std::string& host, RequestHandle handle,
-           const std::string& path, const std::string& key,
-           uint64_t fingerprint = 0) {
+  void SendRequest(const std::string& host, RequestHandle handle,
+                   const std::string& path, const std::string& key,
+                   uint64_t fingerprint = 0) {
     RequestArrived request;
     request.handle = handle;
     request.request_id = "r" + std::to_string(handle);
@@ -56,8 +57,9 @@
     Handle(host, request);
   }
 
-  // Why a request was refused; empty if it was sent.
-  std::string RefusalOf(RequestHandle handle) const {
+  // Returns the reason for which host "a" refused a request; empty if it was
+  // sent.
+  std::string RefusalReasonFor(RequestHandle handle) const {
     for (const RefuseRequest& refused : Done<RefuseRequest>("a")) {
       if (refused.handle == handle) {
         return RefusalReasonName(refused.refusal.reason);
@@ -67,36 +69,36 @@
   }
 };
 
-TEST_F(TeamTest, RequestRunsForTheTeamThatHoldsItsKey) {
-  Ask("a", 1, "/once/x", "key-1");
-  Ask("a", 2, "/once/x", "key-2");
+TEST_F(TeamTest, RequestIsAssignedToTheTeamOfItsKey) {
+  SendRequest("a", 1, "/once/x", "key-1");
+  SendRequest("a", 2, "/once/x", "key-2");
   const auto sent = Done<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_EQ(sent[0].team, "studs");
   EXPECT_EQ(sent[1].team, "agents");
 }
 
-TEST_F(TeamTest, TeamsPriorityGoesBeforeTheRules) {
-  Ask("a", 1, "/once/x", "key-1");
-  Ask("a", 2, "/once/x", "key-2");
+TEST_F(TeamTest, PriorityOfTheTeamOverridesTheRules) {
+  SendRequest("a", 1, "/once/x", "key-1");
+  SendRequest("a", 2, "/once/x", "key-2");
   const auto sent = Done<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_EQ(sent[0].priority, 0);
   EXPECT_EQ(sent[1].priority, 2);
 }
 
-TEST_F(TeamTest, UnknownAndMissingKeysAreRefusedAtOnce) {
-  Ask("a", 1, "/once/x", "key-9");
-  Ask("a", 2, "/once/x", "");
-  EXPECT_EQ(RefusalOf(1), "unauthorized");
-  EXPECT_EQ(RefusalOf(2), "unauthorized");
+TEST_F(TeamTest, UnknownAndMissingKeysAreUnauthorized) {
+  SendRequest("a", 1, "/once/x", "key-9");
+  SendRequest("a", 2, "/once/x", "");
+  EXPECT_EQ(RefusalReasonFor(1), "unauthorized");
+  EXPECT_EQ(RefusalReasonFor(2), "unauthorized");
   EXPECT_TRUE(Done<DispatchRequest>("a").empty());
 }
 
-TEST_F(TeamTest, PublicRulesNeedNoKeyAndKnowATeamThatShowsOne) {
-  Ask("a", 1, "/open/x", "");
-  Ask("a", 2, "/open/x", "key-9");
-  Ask("a", 3, "/open/x", "key-1");
+TEST_F(TeamTest, PublicRulesNeedNoKeyButAssignTheTeamOfAValidOne) {
+  SendRequest("a", 1, "/open/x", "");
+  SendRequest("a", 2, "/open/x", "key-9");
+  SendRequest("a", 3, "/open/x", "key-1");
   const auto sent = Done<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 3u);
   EXPECT_EQ(sent[0].team, "");
@@ -104,60 +106,60 @@
   EXPECT_EQ(sent[2].team, "studs");
 }
 
-// An operator takes a stolen key away. Whoever holds it went on as the team
-// until the host was restarted.
-TEST_F(TeamTest, KeyThatWasTakenAwayIsRefused) {
-  Install(3, {{"studs", "key-3"}, {"agents", "key-2"}});
-  Ask("a", 1, "/once/x", "key-1");
-  EXPECT_EQ(RefusalOf(1), "unauthorized");
-  Ask("a", 2, "/once/x", "key-3");
-  EXPECT_EQ(RefusalOf(2), "");
+// Guards against a revoked key that stays valid until the host restarts.
+TEST_F(TeamTest, RevokedKeyIsRefused) {
+  InstallTeams(3, {{"studs", "key-3"}, {"agents", "key-2"}});
+  SendRequest("a", 1, "/once/x", "key-1");
+  EXPECT_EQ(RefusalReasonFor(1), "unauthorized");
+  SendRequest("a", 2, "/once/x", "key-3");
+  EXPECT_EQ(RefusalReasonFor(2), "");
 }
 
-// An older version of the configuration comes late, from a host that lagged. It
-// must not bring a key back that was taken away.
-TEST_F(TeamTest, OlderVersionBringsNoKeyBack) {
-  Install(5, {{"studs", "key-3"}});
-  Install(4, {{"studs", "key-1"}});
-  Ask("a", 1, "/once/x", "key-1");
-  EXPECT_EQ(RefusalOf(1), "unauthorized");
+// Guards against an older configuration that arrives late, from a host that
+// lags, and reinstates a revoked key.
+TEST_F(TeamTest, OlderVersionDoesNotReinstateARevokedKey) {
+  InstallTeams(5, {{"studs", "key-3"}});
+  InstallTeams(4, {{"studs", "key-1"}});
+  SendRequest("a", 1, "/once/x", "key-1");
+  EXPECT_EQ(RefusalReasonFor(1), "unauthorized");
 }
 
-TEST_F(TeamTest, WithoutTeamsNothingIsAskedOrSet) {
+TEST_F(TeamTest, NoKeyIsRequiredAndNoTeamSetWithoutTeams) {
   Handle("a", RuleSetRead{3, *ParseJson(kTeamRules)});
-  Ask("a", 1, "/once/x", "");
+  SendRequest("a", 1, "/once/x", "");
   const auto sent = Done<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 1u);
   EXPECT_FALSE(sent[0].team.has_value());
   EXPECT_EQ(sent[0].priority, 2);
 }
 
-// A content under quarantine came again with a new key of the same team, and
-// ended two more servers. Another team that sends the same is not held for it.
-TEST_F(TeamTest, ContentIsTheTeamsWhateverItsKey) {
+// Guards against a quarantined content that reaches servers again with a new
+// key of the same team. Another team that sends the same content is not
+// affected.
+TEST_F(TeamTest, QuarantineAppliesToTheTeamWhateverItsKey) {
   EXPECT_NE(FingerprintForCaller(77, "studs"),
             FingerprintForCaller(77, "agents"));
   quarantined_[FingerprintForCaller(77, "studs")] =
       now_ + std::chrono::hours(1);
   Add("b");
-  Install(3, {{"studs", "key-3"}, {"agents", "key-2"}});
+  InstallTeams(3, {{"studs", "key-3"}, {"agents", "key-2"}});
   Run(seconds(1));
-  Ask("b", 1, "/once/x", "key-3", 77);
-  Install(4, {{"studs", "key-4"}, {"agents", "key-2"}});
-  Ask("b", 2, "/once/x", "key-4", 77);
+  SendRequest("b", 1, "/once/x", "key-3", 77);
+  InstallTeams(4, {{"studs", "key-4"}, {"agents", "key-2"}});
+  SendRequest("b", 2, "/once/x", "key-4", 77);
   const auto refused = Done<RefuseRequest>("b");
   ASSERT_EQ(refused.size(), 2u);
   for (const RefuseRequest& one : refused) {
     EXPECT_EQ(one.refusal.reason, RefusalReason::kQuarantined);
   }
-  Ask("b", 3, "/once/x", "key-2", 77);
+  SendRequest("b", 3, "/once/x", "key-2", 77);
   EXPECT_EQ(Done<DispatchRequest>("b").size(), 1u);
 }
 
-// No dump of a host gives a key away, nor do the decisions it keeps.
-TEST_F(TeamTest, KeysAreInNoDump) {
-  Ask("a", 1, "/once/x", "key-1");
-  Ask("a", 2, "/once/x", "key-9");
+// Guards against API keys in state dumps, decisions or metrics.
+TEST_F(TeamTest, KeysAreNotInDumps) {
+  SendRequest("a", 1, "/once/x", "key-1");
+  SendRequest("a", 2, "/once/x", "key-9");
   const Node& node = *hosts_.at("a").node;
   const std::string all = node.StateDump().dump() +
                           node.Decisions("r1").dump() +
@@ -165,13 +167,13 @@
   EXPECT_EQ(all.find("key-"), std::string::npos);
 }
 
-// A team sends far more than it bought. What is beyond is refused with a time
-// to come back, and a request that was turned away unrun costs nothing.
-TEST_F(TeamTest, TeamBeyondItsQuotaIsRefusedWithATimeToComeBack) {
-  Install(3, {{"studs", "key-1"}, {"agents", "key-2"}}, /*limit=*/1000);
+// Requests beyond a team's quota are refused with a time to retry; a refused
+// request is not charged.
+TEST_F(TeamTest, RequestsBeyondTheQuotaAreRefusedWithARetryTime) {
+  InstallTeams(3, {{"studs", "key-1"}, {"agents", "key-2"}}, /*limit=*/1000);
   Run(seconds(4));
   for (RequestHandle handle = 1; handle <= 200; ++handle) {
-    Ask("a", handle, "/once/x", "key-1");
+    SendRequest("a", handle, "/once/x", "key-1");
     Run(milliseconds(50));
   }
   int refused = 0;
@@ -181,8 +183,8 @@
     EXPECT_EQ(one.refusal.verdict, Verdict::kNotRun);
     EXPECT_GE(one.refusal.retry_after, seconds(1));
   }
-  // 200 requests of 100 tokens in 10 s, of which 1,000 a second and a burst of
-  // as much may pass.
+  // 200 requests of 100 tokens are sent in 10 s. The quota admits 1,000 tokens
+  // a second and a burst of 1,000.
   EXPECT_GE(refused, 200 - 110 - 20);
   EXPECT_LE(refused, 200 - 100);
 }
