--- a/tests/node/news_delivery_test.cc
+++ b/tests/node/news_delivery_test.cc
@@ -69,7 +69,7 @@
   AddHosts(/*wide=*/2, /*narrow=*/2);
   fleet_.SetReader("wide-0");
   fleet_.Run(seconds(3));
-  fleet_.Append(kConfigTopic, "first record, the base of the reader's patches");
+  fleet_.Append(kConfigTopic, "first record: the base of the reader's patch");
   fleet_.Run(seconds(1));
   fleet_.host("narrow-0").is_refused = true;
   fleet_.ReplaceBase("narrow-0", kConfigTopic);
--- a/tests/node/news_fleet.h
+++ b/tests/node/news_fleet.h
@@ -372,9 +372,10 @@
   // `to` is 0 if there are no new records.
   void AnswerRead(const std::string& name, const std::string& topic,
                   uint64_t call, LogOffset to) {
-    const Host& host = *hosts_.at(name);
-    if (host.unanswered_topics.contains(topic) || host.is_refused) return;
-    const LogOffset from = host.topics.at(topic).next;
+    const Host& requester = *hosts_.at(name);
+    if (requester.unanswered_topics.contains(topic) || requester.is_refused)
+      return;
+    const LogOffset from = requester.topics.at(topic).next;
     const size_t size =
         kRequestBytes + (to > from ? Bytes(topic, from, to).size() : 0);
     Schedule(now_ + kStoreTime, [this, name, topic, call, from, to, size] {
