--- a/node/fleet_keeper.cc
+++ b/node/fleet_keeper.cc
@@ -68,7 +68,7 @@
 
 // ---- Listing ----
 
-void FleetKeeper::TakeServers(const ServersListed& event) {
+void FleetKeeper::TakeServers(const ServerListRead& event) {
   if (servers_.empty() && !event.listed.empty()) lease_.NoteListed();
   std::vector<std::string> gone = event.gone;
   if (event.is_whole) {
@@ -104,8 +104,8 @@
   }
   // While the store is away listings lapse for live servers too; they are
   // back soon after it, and work would be turned away for nothing until then.
-  const bool was_away =
-      context_.IsLogDown() || context_.now - context_.log_back_at < kRelisting;
+  const bool was_away = context_.IsLogDown() ||
+                        context_.now - context_.log_recovered_at < kRelisting;
   for (const std::string& id : gone) {
     if (!servers_.contains(id)) continue;
     if (was_away) {
@@ -138,7 +138,7 @@
   // Counted from the store's return: a server that leaves in the two seconds
   // after it must be left as fast as at any other time.
   if (departing_.empty() || context_.IsLogDown() ||
-      context_.now - context_.log_back_at < kRelisting) {
+      context_.now - context_.log_recovered_at < kRelisting) {
     return;
   }
   const std::set<std::string> due = std::move(departing_);
@@ -234,7 +234,7 @@
   // It cannot read whom to report to; the first plan tells it.
   FleetPeer& before = peers_[resigned_.host];
   before.address = resigned_.address;
-  before.heard_at = context_.now;
+  before.last_report_at = context_.now;
   resigned_ = {};
 }
 
@@ -250,7 +250,7 @@
   if (!may_give_up || !lease_.IsUnproven()) return false;
   return std::any_of(peers_.begin(), peers_.end(), [this](const auto& item) {
     return item.second.can_read_store &&
-           context_.now - item.second.heard_at <= kReaderSilence;
+           context_.now - item.second.last_report_at <= kMaxReaderSilence;
   });
 }
 
@@ -339,7 +339,7 @@
   body["d"] = context_.settings.data_centre;
   body["c"] = context_.settings.cpu_share;
   const double link = context_.settings.link_mbps;
-  if (link > 0 && link < kReaderLink) body["b"] = link;
+  if (link > 0 && link < kWideLinkMbps) body["b"] = link;
   body["s"] = CanReadStore();
   Json ends = quarantine_.TakeReportRows(lease_.NewestOwner().token);
   if (!ends.is_null()) body[kServerEnds] = std::move(ends);
@@ -357,7 +357,7 @@
   if (!planner_) return;
   FleetPeer& peer = peers_[host];
   peer.address = FieldOr<std::string>(body, "p", "");
-  peer.heard_at = context_.now;
+  peer.last_report_at = context_.now;
   peer.data_centre = FieldOr<std::string>(body, "d", "");
   peer.cpu_share = FieldOr<double>(body, "c", 0.0);
   peer.link_mbps = FieldOr<double>(body, "b", 0.0);
@@ -365,7 +365,7 @@
   const Json missed = body.value("m", Json::array());
   if (missed.is_array() && missed.size() == 2 && missed[0] == lease_.token() &&
       missed[1].is_number_unsigned()) {
-    peer.sent_news = std::min(peer.sent_news, missed[1].get<uint64_t>());
+    peer.sent_change = std::min(peer.sent_change, missed[1].get<uint64_t>());
     peer.is_urgent = true;
   }
   if (body.contains(kServerEnds)) {
@@ -455,9 +455,9 @@
     TakeLoads(SumLoads());
   }
   std::erase_if(peers_, [this](const auto& item) {
-    return context_.now - item.second.heard_at > kPeerLife;
+    return context_.now - item.second.last_report_at > kPeerLife;
   });
-  context_.fleet_hosts = static_cast<int>(peers_.size()) + 1;
+  context_.entry_host_count = static_cast<int>(peers_.size()) + 1;
   for (auto& [host, peer] : peers_) {
     const bool is_urgent = peer.is_urgent || !peer.has_plan;
     if (!is_urgent && peer.waiting.empty()) continue;
@@ -498,13 +498,13 @@
   for (auto& [host, peer] : peers_) {
     if (peer.data_centre != data_centre || !peer.has_plan) continue;
     action.peers.push_back({host, peer.address});
-    peer.sent_news = last_news_;
+    peer.sent_change = last_news_;
   }
   action.message.type = PeerMessageType::kFleetPlan;
   action.message.body = PlanBody(data_centre, told.news);
   action.message.body["l"] = LoadsToJson(loads_);
-  const PeerAddress backup =
-      readers_.Backup(data_centre, ReaderOf(data_centre).host, context_.now);
+  const PeerAddress backup = readers_.SelectBackup(
+      data_centre, ReaderOf(data_centre).host, context_.now);
   action.message.body["b"] = Json::array({backup.host, backup.address});
   told = {context_.now, last_news_};
   if (!action.peers.empty()) context_.Emit(std::move(action));
@@ -512,7 +512,8 @@
 
 bool FleetKeeper::CanReadStore() const {
   return !context_.is_draining && !context_.log_failed &&
-         context_.now - context_.news.AsOf() <= context_.settings.news.trust;
+         context_.now - context_.news.OldestFreshness() <=
+             context_.settings.news.max_staleness;
 }
 
 // Each of many hosts has a request or two at an engine and cannot see that
@@ -560,7 +561,7 @@
       PeersIn(data_centre) <= kMostOwnFollowers) {
     return {context_.settings.self.host, context_.settings.peer_address};
   }
-  return readers_.Reader(data_centre, context_.now);
+  return readers_.SelectReader(data_centre, context_.now);
 }
 
 Json FleetKeeper::PlanBody(const std::string& data_centre, uint64_t since) {
@@ -568,7 +569,7 @@
             {"p", context_.settings.peer_address},
             {"e", Json::array()},
             {"w", Json::array()},
-            {"n", context_.fleet_hosts},
+            {"n", context_.entry_host_count},
             {"f", since},
             {"u", last_news_}};
   // Guards against a reader that a new owner names before it has heard the
@@ -591,12 +592,12 @@
 }
 
 void FleetKeeper::SendPlan(const std::string& host, FleetPeer& peer) {
-  Json body = PlanBody(peer.data_centre, peer.sent_news);
+  Json body = PlanBody(peer.data_centre, peer.sent_change);
   if (!peer.has_plan) body["l"] = LoadsToJson(loads_);
   peer.has_plan = true;
   peer.sent_at = context_.now;
   peer.is_urgent = false;
-  peer.sent_news = last_news_;
+  peer.sent_change = last_news_;
   for (const std::string& target : peer.waiting) {
     const DemandAnswer answer = planner_->Answer(target, context_.now);
     body["w"].push_back(Json::array({target, static_cast<int>(answer.status),
@@ -621,7 +622,7 @@
   }
   lease_.NoteSignOfLife({host, FieldOr<std::string>(body, "p", "")}, token);
   if (body.contains("l")) TakeLoads(LoadsFromJson(body["l"]));
-  context_.fleet_hosts = std::max(1, FieldOr<int>(body, "n", 1));
+  context_.entry_host_count = std::max(1, FieldOr<int>(body, "n", 1));
   ReadPeerAddress(body, "r", reader_);
   ReadPeerAddress(body, "b", backup_reader_);
   TakeNews(body, token);
--- a/node/fleet_keeper.h
+++ b/node/fleet_keeper.h
@@ -14,7 +14,7 @@
 #include "node/placement_lease.h"
 #include "node/quarantine_keeper.h"
 #include "node/quota_keeper.h"
-#include "node/reader_choice.h"
+#include "node/reader_selector.h"
 #include "node/store_relay.h"
 #include "placement/fleet_planner.h"
 
@@ -38,7 +38,7 @@
         lease_(context) {}
 
   // ---- What the platform says. Not thread-safe. ----
-  void TakeServers(const ServersListed& event);
+  void TakeServers(const ServerListRead& event);
   void CatalogueChanged();
   void TakeLease(const LeaseRead& event);
   void TakeAppendEnd(const LeaseAppendEnded& event);
@@ -140,7 +140,7 @@
   PlacementLease lease_;
   std::unique_ptr<FleetPlanner> planner_;
   FleetPeers peers_;
-  ReaderChoice readers_{peers_};
+  ReaderSelector readers_{peers_};
   std::map<std::string, SharedPlanState> told_;  // By data centre.
   std::string last_told_;  // Data centres are told by turns.
 
--- a/node/news_budget.h
+++ b/node/freshness_budget.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_NEWS_BUDGET_H_
-#define APPLEHALL_NODE_NEWS_BUDGET_H_
+#ifndef APPLEHALL_NODE_FRESHNESS_BUDGET_H_
+#define APPLEHALL_NODE_FRESHNESS_BUDGET_H_
 
 #include "core/clock.h"
 
@@ -12,22 +12,25 @@
 // topic, its own or a reader's. A change is in force in time if these sums stay
 // within the bound (docs/design/news.md):
 //
-//   reader lost:      trust + read_timeout + retry_pause + apply <= bound
-//   own read hangs:   renewal + read_timeout + retry_pause + apply <= bound
-//   normal operation: renewal + beat + transit <= trust
-struct NewsBudget {
+//   reader lost:
+//     max_staleness + read_timeout + retry_pause + apply <= bound
+//   own read hangs:
+//     renewal_interval + read_timeout + retry_pause + apply <= bound
+//   normal operation:
+//     renewal_interval + heartbeat_interval + max_transit <= max_staleness
+struct FreshnessBudget {
   Duration bound;
   // Interval at which a host that reads the store renews the freshness of each
   // topic.
-  Duration renewal;
+  Duration renewal_interval;
   // Interval at which readers report the freshness of their topics to their
   // followers, and at which followers request it.
-  Duration beat;
+  Duration heartbeat_interval;
   // Maximum transit time of such a message before a follower starts to read for
   // itself.
-  Duration transit;
+  Duration max_transit;
   // A follower whose topics are staler than this reads the store itself.
-  Duration trust;
+  Duration max_staleness;
   // Timeout of a read of the store, in addition to its wait for updates.
   Duration read_timeout;
   // Backoff after the first failed read; doubled with each further failure.
@@ -37,17 +40,17 @@
 
   // A host whose topics are staler than this cannot rule out that a route or
   // key it does not find was added in time; the store's next answer decides.
-  constexpr Duration most_age() const { return trust + read_timeout; }
+  constexpr Duration max_age() const { return max_staleness + read_timeout; }
 
   // Requires: `bound` is positive. Thread-safe.
-  static constexpr NewsBudget Within(Duration bound) {
+  static constexpr FreshnessBudget Within(Duration bound) {
     constexpr int kParts = 16;
     const Duration part = bound / kParts;
     return {.bound = bound,
-            .renewal = 5 * part,
-            .beat = 2 * part,
-            .transit = part,
-            .trust = 8 * part,
+            .renewal_interval = 5 * part,
+            .heartbeat_interval = 2 * part,
+            .max_transit = part,
+            .max_staleness = 8 * part,
             .read_timeout = 4 * part,
             .retry_pause = part,
             .apply = 3 * part};
@@ -56,4 +59,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_NEWS_BUDGET_H_
+#endif  // APPLEHALL_NODE_FRESHNESS_BUDGET_H_
--- a/node/limit_keeper.cc
+++ b/node/limit_keeper.cc
@@ -271,7 +271,7 @@
   owner_ = owner;
   token_ = token;
   is_owner_heard_ = is_heard && !owner.host.empty();
-  if (is_owner_heard_ || ledger_) told_hosts_ = context_.fleet_hosts;
+  if (is_owner_heard_ || ledger_) told_hosts_ = context_.entry_host_count;
   if (book_.empty() && asks_.empty()) return;
   if (ledger_) {
     ledger_->NoteHost(context_.settings.self.host, context_.now);
--- a/node/messages.h
+++ b/node/messages.h
@@ -45,7 +45,7 @@
 };
 
 // The caller closed its connection.
-struct CallerGone {
+struct CallerDisconnected {
   RequestHandle handle = 0;
 };
 
@@ -112,18 +112,18 @@
 };
 
 // An engine returned its inventory in response to an order.
-struct EngineAnswered {
+struct InventoryReceived {
   Inventory inventory;
   TimePoint asked_at;  // When the order was sent.
 };
 
 // A read of a log stream returned a batch of records.
-struct LogRead {
+struct LogBatchRead {
   LogBatch batch;
 };
 
 // A read or append failed because the log service does not respond.
-struct LogFailed {};
+struct LogUnavailable {};
 
 struct AppendEnded {
   std::string record_id;
@@ -155,7 +155,7 @@
 };
 
 // The platform's listing of backend servers changed or was read completely.
-struct ServersListed {
+struct ServerListRead {
   bool is_whole = false;  // `listed` is the complete listing.
   std::vector<ListedServer> listed;
   std::vector<std::string> gone;  // No longer listed.
@@ -168,7 +168,7 @@
 
 // A read of one topic of the store returned, or updates of it that another host
 // relayed were applied.
-struct StoreNewsRead {
+struct StoreUpdatesRead {
   std::string topic = {};
   LogOffset from = 0;
   LogOffset next = 0;        // The first offset that is not in `records`.
@@ -234,12 +234,13 @@
 struct Tick {};
 
 using Event =
-    std::variant<RequestArrived, CallerGone, AttemptStarted, AttemptEnded,
-                 EngineAnswered, LogRead, LogFailed, AppendEnded, HostListRead,
-                 HostListConfirmed, CatalogueRead, PeerMessageReceived,
-                 DrainRequested, Tick, RuleSetRead, ServersListed, StoreReached,
-                 LeaseRead, LeaseAppendEnded, OrderAnswered, StoreNewsRead,
-                 ServerProbed, QuarantineRead, QuarantineAppendEnded>;
+    std::variant<RequestArrived, CallerDisconnected, AttemptStarted,
+                 AttemptEnded, InventoryReceived, LogBatchRead, LogUnavailable,
+                 AppendEnded, HostListRead, HostListConfirmed, CatalogueRead,
+                 PeerMessageReceived, DrainRequested, Tick, RuleSetRead,
+                 ServerListRead, StoreReached, LeaseRead, LeaseAppendEnded,
+                 OrderAnswered, StoreUpdatesRead, ServerProbed, QuarantineRead,
+                 QuarantineAppendEnded>;
 
 // ---- Actions: outputs of a node, carried out by its driver. ----
 
@@ -266,8 +267,8 @@
 };
 
 // Returns the end of the attempt that `sent` started.
-inline AttemptEnded EndOf(const DispatchRequest& sent, AttemptResult result,
-                          std::string detail) {
+inline AttemptEnded MakeAttemptEnd(const DispatchRequest& sent,
+                                   AttemptResult result, std::string detail) {
   AttemptEnded ended;
   ended.handle = sent.handle;
   ended.attempt = sent.attempt;
@@ -278,9 +279,10 @@
 
 // Returns the end of an attempt whose connection failed after the request was
 // sent.
-inline AttemptEnded BrokenOff(const DispatchRequest& sent, std::string detail,
-                              bool is_cut) {
-  AttemptEnded ended = EndOf(sent, AttemptResult::kBroken, std::move(detail));
+inline AttemptEnded MakeBrokenAttemptEnd(const DispatchRequest& sent,
+                                         std::string detail, bool is_cut) {
+  AttemptEnded ended =
+      MakeAttemptEnd(sent, AttemptResult::kBroken, std::move(detail));
   ended.is_cut = is_cut;
   return ended;
 }
@@ -342,7 +344,7 @@
 };
 
 // Starts or stops this host's own reads of the store.
-struct FollowStore {
+struct SetStorePolling {
   bool is_reading = true;
   // Time up to which this host has all records of all topics, from its own
   // reads or relayed.
@@ -350,7 +352,7 @@
 };
 
 // Applies updates of the store that another host has read and relayed.
-struct TakeStoreNews {
+struct ApplyStoreUpdates {
   std::string topic;
   LogOffset from = 0;
   LogOffset next = 0;
@@ -370,7 +372,7 @@
 using Action =
     std::variant<DispatchRequest, CancelAttempt, RefuseRequest, SendOrder,
                  AppendRecord, SendPeer, SendPeers, Drained, ReadLease,
-                 AppendLease, FollowStore, TakeStoreNews, ProbeServer,
+                 AppendLease, SetStorePolling, ApplyStoreUpdates, ProbeServer,
                  ReadQuarantine, AppendQuarantine>;
 
 }  // namespace applehall
--- a/node/node.cc
+++ b/node/node.cc
@@ -83,7 +83,7 @@
          (flow_.has_read_claims() || context_.IsLogDown());
 }
 
-void Node::HandleEvent(const EngineAnswered& event) {
+void Node::HandleEvent(const InventoryReceived& event) {
   if (IsFleet()) {
     fleet_.TakeInventory(event.inventory, event.asked_at);
     return;
@@ -92,7 +92,7 @@
   flow_.PumpAll();
 }
 
-void Node::HandleEvent(const LogRead& event) {
+void Node::HandleEvent(const LogBatchRead& event) {
   context_.log_answered_at = context_.now;
   context_.log_failed = false;
   if (event.batch.stream == kClaimsStream) {
@@ -103,7 +103,7 @@
   ApplyControlChange();
 }
 
-void Node::HandleEvent(const LogFailed&) {
+void Node::HandleEvent(const LogUnavailable&) {
   if (!context_.log_failed) LogEvent(LogLevel::kWarning, "store_lost");
   context_.log_failed = true;
   context_.log_failed_at = context_.now;
@@ -114,7 +114,8 @@
 // last tick had handled everything received by then, so this answer was written
 // after it; a later time is not proven.
 void Node::HandleEvent(const StoreReached&) {
-  context_.NoteLogAnswer(last_tick_ == TimePoint{} ? context_.now : last_tick_);
+  context_.RecordLogResponse(last_tick_ == TimePoint{} ? context_.now
+                                                       : last_tick_);
 }
 
 void Node::HandleEvent(const RuleSetRead& event) {
@@ -134,7 +135,7 @@
   ApplyControlChange();
 }
 
-void Node::HandleEvent(const ServersListed& event) {
+void Node::HandleEvent(const ServerListRead& event) {
   fleet_.TakeServers(event);
   flow_.PumpAll();
 }
@@ -320,7 +321,7 @@
   if (!context_.control.is_based() || context_.control.next_offset() <= 1) {
     return;
   }
-  const Duration after = context_.settings.carry_after;
+  const Duration after = context_.settings.max_snapshot_age;
   // Staggers the hosts so that usually only one of them writes.
   const Duration stagger =
       after / 10 * (StableHash(context_.settings.self.host) % 8) / 8;
@@ -335,15 +336,15 @@
 void Node::FinishDrain() {
   if (!context_.is_draining || is_drained_) return;
   const Duration took = context_.now - context_.drain_began;
-  const bool is_expired = took >= context_.settings.drain_bound;
+  const bool is_expired = took >= context_.settings.max_drain;
   if (IsFleet()) {
-    const Duration bound = context_.settings.drain_bound;
+    const Duration bound = context_.settings.max_drain;
     if (took >= bound * 2 / 3) flow_.RefuseOpen(/*with_sent=*/is_expired);
   }
   const bool is_released =
       IsFleet() ? fleet_.IsReleased() : !groups_.HoldsAny();
   const bool is_done = flow_.open_requests() == 0 && is_released &&
-                       took >= context_.settings.drain_least;
+                       took >= context_.settings.min_drain;
   if (!is_done && !is_expired) return;
   is_drained_ = true;
   LogEvent(is_done ? LogLevel::kInfo : LogLevel::kWarning, "drain_end")
--- a/node/node.h
+++ b/node/node.h
@@ -58,13 +58,13 @@
 
  private:
   void HandleEvent(const RequestArrived& event) { flow_.Arrive(event); }
-  void HandleEvent(const CallerGone& event) { flow_.CallerLeft(event); }
+  void HandleEvent(const CallerDisconnected& event) { flow_.CallerLeft(event); }
   void HandleEvent(const AttemptStarted& event) { flow_.Started(event); }
   void HandleEvent(const AttemptEnded& event) { flow_.Ended(event); }
   void HandleEvent(const ServerProbed& event) { flow_.TakeProbe(event); }
-  void HandleEvent(const EngineAnswered& event);
-  void HandleEvent(const LogRead& event);
-  void HandleEvent(const LogFailed& event);
+  void HandleEvent(const InventoryReceived& event);
+  void HandleEvent(const LogBatchRead& event);
+  void HandleEvent(const LogUnavailable& event);
   void HandleEvent(const AppendEnded& event);
   void HandleEvent(const HostListRead& event);
   void HandleEvent(const HostListConfirmed& event) {
@@ -73,7 +73,7 @@
   void HandleEvent(const CatalogueRead& event);
   void HandleEvent(const PeerMessageReceived& event);
   void HandleEvent(const RuleSetRead& event);
-  void HandleEvent(const ServersListed& event);
+  void HandleEvent(const ServerListRead& event);
   void HandleEvent(const StoreReached& event);
   void HandleEvent(const LeaseRead& event) { fleet_.TakeLease(event); }
   void HandleEvent(const LeaseAppendEnded& event) {
@@ -82,7 +82,7 @@
   void HandleEvent(const OrderAnswered& event) {
     fleet_.TakeOrderResult(event);
   }
-  void HandleEvent(const StoreNewsRead& event) {
+  void HandleEvent(const StoreUpdatesRead& event) {
     relay_.HandleStoreUpdates(event);
   }
   void HandleEvent(const QuarantineRead& event) { quarantine_.TakeRead(event); }
--- a/node/node_context.cc
+++ b/node/node_context.cc
@@ -12,10 +12,10 @@
 
 }  // namespace
 
-void NodeContext::NoteLogAnswer(TimePoint when) {
+void NodeContext::RecordLogResponse(TimePoint when) {
   const Duration gap = when - log_answered_at;
   if (log_failed && gap >= kMinOutage) {
-    log_back_at = now;
+    log_recovered_at = now;
     LogEvent(LogLevel::kInfo, "store_back").With("silent_ms", ToMillis(gap));
   }
   log_failed = false;
--- a/node/node_context.h
+++ b/node/node_context.h
@@ -13,7 +13,7 @@
 #include "node/decision_log.h"
 #include "node/messages.h"
 #include "node/node_settings.h"
-#include "node/topic_proofs.h"
+#include "node/topic_freshness.h"
 #include "routing/engine_view.h"
 #include "rules/replica_bounds.h"
 
@@ -46,15 +46,15 @@
   TimePoint drain_began;
   // Number of entry hosts that share the placement owner. Until the owner
   // reports it, at least this many are assumed.
-  int fleet_hosts = 8;
+  int entry_host_count = 8;
 
   // Freshness of the store's topics on this host.
-  TopicProofs news;
+  TopicFreshness news;
   // Availability of the log service or the store.
   TimePoint log_answered_at;
   bool log_failed = false;
-  TimePoint log_failed_at;  // Of the last failed call.
-  TimePoint log_back_at;    // First answer after the last outage.
+  TimePoint log_failed_at;     // Of the last failed call.
+  TimePoint log_recovered_at;  // First answer after the last outage.
 
   TimePoint now;
   std::vector<Action>* actions = nullptr;
@@ -63,7 +63,7 @@
 
   // Records that the log service or the store was available at `when`, which
   // may be in the past. Not thread-safe.
-  void NoteLogAnswer(TimePoint when);
+  void RecordLogResponse(TimePoint when);
   bool IsLogDown() const {
     return log_failed || now - log_answered_at > settings.log_down_after;
   }
--- a/node/placement_lease.cc
+++ b/node/placement_lease.cc
@@ -224,7 +224,7 @@
   // first. Claims at the end of each cut stopped all loads for the two seconds
   // of a takeover.
   const TimePoint heard =
-      std::max({heard_at_, since_, listed_at_, context_.log_back_at});
+      std::max({heard_at_, since_, listed_at_, context_.log_recovered_at});
   const Duration silence = is_free ? Duration{0} : kOwnerSilence;
   if (context_.now - heard < silence + ClaimStagger()) return;
   if (!can_place) return;  // Nothing to place; let another host do it.
--- a/node/reader_choice.h
+++ b/node/reader_selector.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_READER_CHOICE_H_
-#define APPLEHALL_NODE_READER_CHOICE_H_
+#ifndef APPLEHALL_NODE_READER_SELECTOR_H_
+#define APPLEHALL_NODE_READER_SELECTOR_H_
 
 #include <cstdint>
 #include <map>
@@ -14,10 +14,10 @@
 // State of another host, as recorded by the placement owner.
 struct FleetPeer {
   std::string address;
-  TimePoint heard_at;
+  TimePoint last_report_at;
   TimePoint sent_at;
-  bool has_plan = false;   // The complete plan was sent to it.
-  uint64_t sent_news = 0;  // Last change of the engines that was sent to it.
+  bool has_plan = false;     // The complete plan was sent to it.
+  uint64_t sent_change = 0;  // Last change of the engines that was sent to it.
   std::set<std::string> waiting;
   bool is_urgent = false;  // It waits for a change that has occurred.
   std::string data_centre;
@@ -31,39 +31,41 @@
 // In Mbit/s. At this bandwidth a complete configuration of about 100 KB reaches
 // 30 hosts in a quarter of a second, so wider links are not preferred and not
 // reported.
-inline constexpr double kReaderLink = 100;
+inline constexpr double kWideLinkMbps = 100;
 
 // A bandwidth of 0 is unknown and counts as wide. Thread-safe.
-inline bool IsWideLink(double mbps) { return mbps <= 0 || mbps >= kReaderLink; }
+inline bool IsWideLink(double mbps) {
+  return mbps <= 0 || mbps >= kWideLinkMbps;
+}
 
 // A host that has sent no report for two and a half report intervals is not
 // eligible as a reader.
-inline constexpr Duration kReaderSilence = std::chrono::milliseconds(1250);
+inline constexpr Duration kMaxReaderSilence = std::chrono::milliseconds(1250);
 
 // Selects, among the hosts that report to the placement owner, the reader of
 // each data centre: the host that reads the platform's store for all others
 // there.
-class ReaderChoice {
+class ReaderSelector {
  public:
   // `peers` must outlive this.
-  explicit ReaderChoice(const FleetPeers& peers) : peers_(peers) {}
+  explicit ReaderSelector(const FleetPeers& peers) : peers_(peers) {}
 
   // Returns the reader of `data_centre`, an empty address if no host can read
   // the store. Keeps the previous reader while it reports, reads the store and
   // no such host has a wider link. A wide link counts more than processor
   // share, as the updates that a reader relays would fill a narrow link. Not
   // thread-safe.
-  PeerAddress Reader(const std::string& data_centre, TimePoint now);
+  PeerAddress SelectReader(const std::string& data_centre, TimePoint now);
   // Returns the best host other than `reader`. Followers switch to it on their
   // own if the reader fails while no owner can name another. Not thread-safe.
-  PeerAddress Backup(const std::string& data_centre, const std::string& reader,
-                     TimePoint now) const;
+  PeerAddress SelectBackup(const std::string& data_centre,
+                           const std::string& reader, TimePoint now) const;
   // Discards all selections; hosts start to report at `now`. Not thread-safe.
   void Restart(TimePoint now);
   // Returns false while hosts may not have sent their first report: a selection
   // made then could be reverted a moment later. Not thread-safe.
   bool IsSettled(TimePoint now) const {
-    return now - started_at_ > kReaderSilence;
+    return now - started_at_ > kMaxReaderSilence;
   }
   // Returns whether `host` has a wide link and may therefore become the reader
   // before the selection is settled. Not thread-safe.
@@ -80,4 +82,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_READER_CHOICE_H_
+#endif  // APPLEHALL_NODE_READER_SELECTOR_H_
--- a/node/request_decider.cc
+++ b/node/request_decider.cc
@@ -21,9 +21,9 @@
                            refusal.reason == RefusalReason::kUnauthorized ||
                            refusal.reason == RefusalReason::kBadRequest;
   if (!is_for_good || context_.news.known().empty()) return refusal;
-  const Duration age = context_.now - context_.news.AsOf();
-  const NewsBudget& budget = context_.settings.news;
-  if (age <= budget.most_age()) return refusal;
+  const Duration age = context_.now - context_.news.OldestFreshness();
+  const FreshnessBudget& budget = context_.settings.news;
+  if (age <= budget.max_age()) return refusal;
   context_.metrics.Count("refused_by_old_rules_total");
   return NotRun(RefusalReason::kRulesMayBeOld,
                 absl::StrCat(refusal.detail, ", by rules last confirmed ",
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -96,7 +96,7 @@
 std::optional<Refusal> RequestFlow::CheckLimits(const RequestArrived& event) {
   const bool still_serves =
       context_.settings.serves_while_draining &&
-      context_.now - context_.drain_began < context_.settings.drain_least;
+      context_.now - context_.drain_began < context_.settings.min_drain;
   if (context_.is_draining && !still_serves) {
     return NotRun(RefusalReason::kDraining, "this host is being replaced",
                   kRetrySoon);
@@ -105,7 +105,7 @@
     return NotRun(RefusalReason::kNoRuleSet, "no rule set is in force yet",
                   kRetrySoon);
   }
-  if (requests_.size() >= context_.settings.most_requests ||
+  if (requests_.size() >= context_.settings.max_open_requests ||
       targets_.size() >= kMostTargets) {
     return NotRun(RefusalReason::kQueueFull, "this host holds all it can",
                   kRetrySoon);
@@ -117,7 +117,7 @@
     const std::string& caller) const {
   const auto known = callers_.find(caller);
   if (known == callers_.end() ||
-      known->second.open < context_.settings.most_in_flight_per_caller) {
+      known->second.open < context_.settings.max_in_flight_per_caller) {
     return std::nullopt;
   }
   return NotRun(RefusalReason::kTooManyInFlight,
@@ -676,7 +676,7 @@
   if (IsFleet()) {
     RetryBudget& of_service = backend_retries_[request.service];
     of_service.SetMostSaved(context_.settings.retry_slack /
-                            context_.fleet_hosts);
+                            context_.entry_host_count);
     return of_service.TrySpend();
   }
   RetryBudget& of_caller = callers_[request.arrival.facts.caller].retries;
@@ -739,7 +739,7 @@
   log_.RefusedOnArrival(event, rule, refusal);
 }
 
-void RequestFlow::CallerLeft(const CallerGone& event) {
+void RequestFlow::CallerLeft(const CallerDisconnected& event) {
   if (early_.Drop(event.handle)) return;
   Request* request = Find(event.handle);
   if (request == nullptr) return;
--- a/node/request_flow.h
+++ b/node/request_flow.h
@@ -37,7 +37,7 @@
   // Events of one request; all may come late, doubled or after its end. Not
   // thread-safe.
   void Arrive(const RequestArrived& event);
-  void CallerLeft(const CallerGone& event);
+  void CallerLeft(const CallerDisconnected& event);
   void Started(const AttemptStarted& event);
   void Ended(const AttemptEnded& event);
   // Whether a server that broke answers off is still there. Not thread-safe.
--- a/node/store_relay.cc
+++ b/node/store_relay.cc
@@ -5,7 +5,7 @@
 #include "core/byte_patch.h"
 #include "core/event_log.h"
 #include "core/hash.h"
-#include "node/reader_choice.h"
+#include "node/reader_selector.h"
 
 namespace applehall {
 namespace {
@@ -70,10 +70,10 @@
 
 // Leaves half of the allowed staleness for the backup's answer.
 bool StoreRelay::NeedsBackup() const {
-  return RelayedStaleness() > budget().trust / 2;
+  return RelayedStaleness() > budget().max_staleness / 2;
 }
 
-void StoreRelay::HandleStoreUpdates(const StoreNewsRead& updates) {
+void StoreRelay::HandleStoreUpdates(const StoreUpdatesRead& updates) {
   context_.news.RecordOffset(updates.topic, updates.next);
   if (updates.as_of != TimePoint{}) {
     context_.news.RecordFreshness(updates.topic, updates.next, updates.as_of,
@@ -103,7 +103,7 @@
 }
 
 StoreRelay::RetainedUpdates StoreRelay::MakeRetained(
-    const StoreNewsRead& updates) const {
+    const StoreUpdatesRead& updates) const {
   RetainedUpdates retained{updates, context_.now, "", 0};
   const auto base = base_records_.find(updates.topic);
   if (base == base_records_.end()) return retained;
@@ -197,7 +197,7 @@
 
 void StoreRelay::AddRecords(const RetainedUpdates& entry, Follower& follower,
                             Json& body) {
-  const StoreNewsRead& read = entry.updates;
+  const StoreUpdatesRead& read = entry.updates;
   SentState& sent = follower.sent[read.topic];
   const bool has_base = sent.next == read.from && !entry.patch.empty() &&
                         !follower.needs_full_records;
@@ -219,8 +219,10 @@
 // callers.
 bool StoreRelay::TrySpendBytes(size_t bytes) {
   const double mbps = context_.settings.link_mbps;
-  const double per_second = (mbps > 0 ? mbps : kReaderLink) * kBytesPerMegabit;
-  const double burst = per_second * ToSeconds(budget().beat + budget().transit);
+  const double per_second =
+      (mbps > 0 ? mbps : kWideLinkMbps) * kBytesPerMegabit;
+  const double burst = per_second * ToSeconds(budget().heartbeat_interval +
+                                              budget().max_transit);
   const double elapsed = ToSeconds(context_.now - refilled_at_);
   link_tokens_ =
       std::min(burst, link_tokens_ + kLinkShare * per_second * elapsed);
@@ -321,9 +323,9 @@
       .With("reason", std::string(records.status().message()));
   if (!records.ok()) return;
   needs_full_records_ = false;
-  context_.Emit(TakeStoreNews{topic, from, to, *records});
+  context_.Emit(ApplyStoreUpdates{topic, from, to, *records});
   context_.news.RecordOffset(topic, to);
-  StoreNewsRead updates{.topic = topic, .from = from, .next = to};
+  StoreUpdatesRead updates{.topic = topic, .from = from, .next = to};
   updates.records = *std::move(records);
   Retain({std::move(updates), context_.now, patch.value_or(""),
           FieldOr<uint64_t>(body, "base", 0)});
@@ -359,16 +361,16 @@
       .With("reader", reader_.host)
       .With("proof_age_ms", ToMillis(RelayedStaleness()))
       .With("caught_up", context_.news.IsCaughtUp() ? "yes" : "no");
-  context_.Emit(FollowStore{is_reading, context_.news.AsOf()});
+  context_.Emit(SetStorePolling{is_reading, context_.news.OldestFreshness()});
 }
 
 void StoreRelay::RunTick() {
   std::erase_if(followers_, [this](const auto& item) {
     return context_.now - item.second.last_contact_at >
-           kFollowerTimeoutHeartbeats * budget().beat;
+           kFollowerTimeoutHeartbeats * budget().heartbeat_interval;
   });
   for (auto& [host, follower] : followers_) {
-    if (context_.now - follower.sent_at >= budget().beat) {
+    if (context_.now - follower.sent_at >= budget().heartbeat_interval) {
       SendUpdates(host, follower, nullptr);
     }
   }
@@ -376,7 +378,7 @@
     SetReading(true);
     return;
   }
-  if (context_.now - follow_sent_at_ >= budget().beat) {
+  if (context_.now - follow_sent_at_ >= budget().heartbeat_interval) {
     follow_sent_at_ = context_.now;
     SendFollow(reader_);
     const bool has_backup =
@@ -385,13 +387,13 @@
   }
   // The reader sends missing records again. Waiting for that until this host's
   // own topics are too stale spares the store a read by each of many followers.
-  const Duration age = context_.now - context_.news.AsOf();
-  SetReading(std::max(age, RelayedStaleness()) > budget().trust);
+  const Duration age = context_.now - context_.news.OldestFreshness();
+  SetReading(std::max(age, RelayedStaleness()) > budget().max_staleness);
   if (is_reading_) return;
   // Freshness that the reader reports also shows that the store is available.
-  const TimePoint as_of = context_.news.AsOf();
+  const TimePoint as_of = context_.news.OldestFreshness();
   if (as_of > std::max(context_.log_answered_at, context_.log_failed_at)) {
-    context_.NoteLogAnswer(as_of);
+    context_.RecordLogResponse(as_of);
   }
 }
 
--- a/node/store_relay.h
+++ b/node/store_relay.h
@@ -16,10 +16,11 @@
 // otherwise the calls to the store grow with the number of hosts.
 //
 // A host that has a reader follows it: it applies the updates that the reader
-// relays and makes no reads of its own while each topic is fresh (TopicProofs).
-// If a topic is staler than the budget's trust, the host reads the store
-// itself. So a reader that crashes, stalls, is partitioned, has lost the store
-// or waits for an answer about one topic delays a change by that time at most.
+// relays and makes no reads of its own while each topic is fresh
+// (TopicFreshness). If a topic is staler than the budget allows, the host
+// reads the store itself. So a reader that crashes, stalls, is partitioned, has
+// lost the store or waits for an answer about one topic delays a change by that
+// time at most.
 //
 // Updates are relayed without being decoded; only the platform adapter
 // interprets them. A record that differs little from the one before it, such as
@@ -43,7 +44,7 @@
   static KnownOwner ParseOwner(const Json& body);
   // Handles updates that this host read, or applied after its reader relayed
   // them: relays them to its followers. Not thread-safe.
-  void HandleStoreUpdates(const StoreNewsRead& updates);
+  void HandleStoreUpdates(const StoreUpdatesRead& updates);
   // Handles a kStoreFollow message of a follower. Not thread-safe.
   void HandleFollow(const std::string& host, const Json& body);
   // Handles a kStoreNews message; ignores those of hosts other than the reader
@@ -53,7 +54,7 @@
   // between own reads and relayed updates. Not thread-safe.
   void RunTick();
 
-  bool reads_itself() const { return is_reading_; }
+  bool is_reading_store() const { return is_reading_; }
   Json ToJson() const;
 
  private:
@@ -72,7 +73,7 @@
   };
   // Updates retained for followers that have not received them.
   struct RetainedUpdates {
-    StoreNewsRead updates;
+    StoreUpdatesRead updates;
     TimePoint retained_at;
     // Patch from the preceding record to `updates.records`; empty if that
     // record is not known or the patch is not considerably shorter.
@@ -80,7 +81,7 @@
     uint64_t base_hash = 0;  // Of the preceding record.
   };
 
-  const NewsBudget& budget() const { return context_.settings.news; }
+  const FreshnessBudget& budget() const { return context_.settings.news; }
   Duration RelayedStaleness() const {
     return context_.now - RelayedFreshness();
   }
@@ -91,7 +92,7 @@
   TimePoint RelayedFreshness() const;
   // Returns whether the backup must be followed as well.
   bool NeedsBackup() const;
-  RetainedUpdates MakeRetained(const StoreNewsRead& updates) const;
+  RetainedUpdates MakeRetained(const StoreUpdatesRead& updates) const;
   // Adds updates and evicts expired ones. The result is valid until the next
   // call.
   const RetainedUpdates& Retain(RetainedUpdates retained);
--- a/node/topic_proofs.cc
+++ b/node/topic_freshness.cc
@@ -1,17 +1,17 @@
-#include "node/topic_proofs.h"
-
 #include <algorithm>
 
+#include "node/topic_freshness.h"
+
 namespace applehall {
 
-void TopicProofs::Merge(const TopicProof& report, TopicProof& known) {
+void TopicFreshness::Merge(const TopicState& report, TopicState& known) {
   if (report.as_of <= known.as_of) return;
   known.as_of = report.as_of;
   known.source = report.source;
 }
 
-void TopicProofs::RecordOffset(const std::string& topic, LogOffset next) {
-  TopicProof& known = known_[topic];
+void TopicFreshness::RecordOffset(const std::string& topic, LogOffset next) {
+  TopicState& known = known_[topic];
   known.next = std::max(known.next, next);
   const auto report = pending_.find(topic);
   if (report == pending_.end() || report->second.next > known.next) return;
@@ -19,24 +19,25 @@
   pending_.erase(report);
 }
 
-void TopicProofs::RecordFreshness(const std::string& topic, LogOffset next,
-                                  TimePoint as_of, const std::string& source) {
+void TopicFreshness::RecordFreshness(const std::string& topic, LogOffset next,
+                                     TimePoint as_of,
+                                     const std::string& source) {
   const auto known = known_.find(topic);
   if (known != known_.end() && known->second.next >= next) {
     Merge({next, as_of, source}, known->second);
     return;
   }
-  TopicProof& report = pending_[topic];
+  TopicState& report = pending_[topic];
   if (next < report.next) return;
   report = {next, as_of, source};
 }
 
-LogOffset TopicProofs::NextOffset(const std::string& topic) const {
+LogOffset TopicFreshness::NextOffset(const std::string& topic) const {
   const auto known = known_.find(topic);
   return known == known_.end() ? 0 : known->second.next;
 }
 
-TimePoint TopicProofs::AsOf() const {
+TimePoint TopicFreshness::OldestFreshness() const {
   if (known_.empty()) return {};
   return std::min_element(known_.begin(), known_.end(),
                           [](const auto& a, const auto& b) {
@@ -45,14 +46,14 @@
       ->second.as_of;
 }
 
-bool TopicProofs::IsCaughtUp() const {
+bool TopicFreshness::IsCaughtUp() const {
   return std::all_of(pending_.begin(), pending_.end(),
                      [this](const auto& item) {
                        return NextOffset(item.first) >= item.second.next;
                      });
 }
 
-Json TopicProofs::ToJson(TimePoint now) const {
+Json TopicFreshness::ToJson(TimePoint now) const {
   Json json = Json::object();
   for (const auto& [topic, state] : known_) {
     json[topic] = Json{{"next", state.next},
--- a/node/topic_proofs.h
+++ b/node/topic_freshness.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_TOPIC_PROOFS_H_
-#define APPLEHALL_NODE_TOPIC_PROOFS_H_
+#ifndef APPLEHALL_NODE_TOPIC_FRESHNESS_H_
+#define APPLEHALL_NODE_TOPIC_FRESHNESS_H_
 
 #include <map>
 #include <string>
@@ -11,7 +11,7 @@
 namespace applehall {
 
 // The records of a topic that a host has, and how fresh they are.
-struct TopicProof {
+struct TopicState {
   LogOffset next = 0;  // All records before this offset are known.
   // No other record existed at this time, as shown by an answer of the store
   // about this topic or by the message of a host that received one.
@@ -20,7 +20,7 @@
 };
 
 // Tracks up to which time this host has all records of each topic of the store.
-class TopicProofs {
+class TopicFreshness {
  public:
   // Records that this host has all records of `topic` before `next`. Not
   // thread-safe.
@@ -41,21 +41,21 @@
   LogOffset NextOffset(const std::string& topic) const;
   // Returns the freshness of the stalest topic; the epoch if a topic has none
   // or no topic is known. Not thread-safe.
-  TimePoint AsOf() const;
+  TimePoint OldestFreshness() const;
   // Returns false if a reader has reported records that this host lacks. Not
   // thread-safe.
   bool IsCaughtUp() const;
-  const std::map<std::string, TopicProof>& known() const { return known_; }
+  const std::map<std::string, TopicState>& known() const { return known_; }
   // Returns, by topic, the offset, staleness and its source. Not thread-safe.
   Json ToJson(TimePoint now) const;
 
  private:
-  static void Merge(const TopicProof& report, TopicProof& known);
+  static void Merge(const TopicState& report, TopicState& known);
 
-  std::map<std::string, TopicProof> known_;
-  std::map<std::string, TopicProof> pending_;  // Ahead of `known_`.
+  std::map<std::string, TopicState> known_;
+  std::map<std::string, TopicState> pending_;  // Ahead of `known_`.
 };
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_TOPIC_PROOFS_H_
+#endif  // APPLEHALL_NODE_TOPIC_FRESHNESS_H_
--- a/tests/node/fleet_test.cc
+++ b/tests/node/fleet_test.cc
@@ -140,11 +140,11 @@
   hosts_.at("b").is_down = true;
   pending_.clear();
   Handle("a", StoreReached{});
-  Handle("a", StoreNewsRead{.topic = "servers",
-                            .from = 0,
-                            .next = 1,
-                            .records = "records",
-                            .as_of = now_ - seconds(2)});
+  Handle("a", StoreUpdatesRead{.topic = "servers",
+                               .from = 0,
+                               .next = 1,
+                               .records = "records",
+                               .as_of = now_ - seconds(2)});
   ASSERT_EQ(pending_.size(), 1u);
   const auto& told = std::get<PeerMessageReceived>(pending_[0].second);
   ASSERT_EQ(told.message.type, PeerMessageType::kStoreNews);
@@ -205,7 +205,7 @@
   const std::vector<std::string> first = Holders();
   for (auto& [name, host] : hosts_) {
     host.is_cut_from_store = true;
-    Handle(name, LogFailed{});
+    Handle(name, LogUnavailable{});
   }
   Run(seconds(4));
   for (auto& [name, host] : hosts_) host.is_cut_from_store = false;
@@ -241,17 +241,17 @@
   for (const char* name : {"d", "e", "f"}) Add(name, "quay");
   const auto read_all = [&] {
     for (const auto& [name, host] : hosts_) {
-      if (!host.node->relay().reads_itself()) continue;
+      if (!host.node->relay().is_reading_store()) continue;
       Handle(name, StoreReached{});
       Handle(name,
-             StoreNewsRead{
+             StoreUpdatesRead{
                  .topic = "servers", .from = 5, .next = 5, .as_of = now_});
     }
   };
   const auto readers = [&] {
     std::vector<std::string> names;
     for (const auto& [name, host] : hosts_) {
-      if (!host.is_down && host.node->relay().reads_itself()) {
+      if (!host.is_down && host.node->relay().is_reading_store()) {
         names.push_back(name);
       }
     }
@@ -271,7 +271,7 @@
   const std::string cut = other_reader();
   for (int i = 0; i < 20; ++i) {
     read_all();
-    Handle(cut, LogFailed{});
+    Handle(cut, LogUnavailable{});
     Run(milliseconds(200));
   }
   ASSERT_EQ(readers().size(), 2u);
@@ -409,7 +409,7 @@
   for (int i = 0; i < 20; ++i) {
     Run(milliseconds(250));
     for (auto& [name, host] : hosts_) {
-      if (name != holder) Handle(name, LogFailed{});
+      if (name != holder) Handle(name, LogUnavailable{});
     }
   }
   for (auto& [name, host] : hosts_) {
@@ -429,9 +429,9 @@
 TEST_F(FleetTest, ServersThatLapseWithTheStoreStayForAWhile) {
   Add("a");
   Run(seconds(2));
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(seconds(1));
-  ServersListed lapsed;
+  ServerListRead lapsed;
   lapsed.gone = {"app-1", "app-2"};
   Handle("a", lapsed);
   Arrive("a", 1, "/once/x");
@@ -451,11 +451,11 @@
 TEST_F(FleetTest, ServerThatLeavesSoonAfterAnOutageIsLeftInTime) {
   Add("a");
   Run(seconds(2));
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(seconds(3));
   Handle("a", StoreReached{});
   Run(milliseconds(1900));
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"app-1", "app-2"};
   Handle("a", gone);
   Run(milliseconds(400));
@@ -468,7 +468,7 @@
   Add("a");
   Run(seconds(2));
   Handle("a", StoreReached{});
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"app-1"};
   ListedServer leaving = Server("app-2", "app");
   leaving.is_leaving = true;
@@ -484,7 +484,7 @@
 TEST_F(FleetTest, ServerThatStartsAgainHoldsNothingOfBefore) {
   Add("a");
   const auto list = [&](TimePoint started_at, const std::string& model) {
-    ServersListed listed;
+    ServerListRead listed;
     ListedServer engine = Server("llm-1", "llm", "llm/m0");
     if (model.empty()) engine.models.clear();
     engine.started_at = started_at;
@@ -510,7 +510,7 @@
 // the others must not be touched by it.
 TEST_F(FleetTest, ServerWithAnUnusableEntryGetsNothing) {
   Add("a");
-  ServersListed damaged;
+  ServerListRead damaged;
   damaged.unusable = {"app-1", "never-seen"};
   Handle("a", damaged);
   for (RequestHandle handle = 1; handle <= 8; ++handle) {
@@ -588,7 +588,7 @@
 TEST_F(FleetTest, RequestReturnsToTheEngineThatTurnedItAway) {
   Add("a");
   Run(seconds(2));
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"llm-2"};
   Handle("a", StoreReached{});
   Handle("a", gone);
@@ -686,7 +686,7 @@
     for (const RequestHandle handle : leaving) {
       ++left_;
       Stop(handle);
-      Handle(arrived_[handle].first, CallerGone{handle});
+      Handle(arrived_[handle].first, CallerDisconnected{handle});
       arrived_.erase(handle);
     }
   }
@@ -833,7 +833,7 @@
   EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.reason,
             RefusalReason::kRefusedByRule);
   hosts_.at("a").is_cut_from_store = true;
-  Run(NewsBudget::Within(seconds(2)).most_age() + milliseconds(25));
+  Run(FreshnessBudget::Within(seconds(2)).max_age() + milliseconds(25));
   Arrive("a", 2, "/unknown");
   ASSERT_EQ(Done<RefuseRequest>("a").size(), 2u);
   const Refusal refusal = Done<RefuseRequest>("a")[1].refusal;
--- a/tests/node/limit_fleet.h
+++ b/tests/node/limit_fleet.h
@@ -206,7 +206,7 @@
     host.token = token_;
     last_news_ = 0;
     for (Host& other : hosts_) other.sent_news = 0;
-    host.context->fleet_hosts = static_cast<int>(size());
+    host.context->entry_host_count = static_cast<int>(size());
     host.keeper->StartPlanning(last_news_);
     for (size_t j = 0; j < size(); ++j) {
       if (j != i) hosts_[j].keeper->StopPlanning();
@@ -269,7 +269,7 @@
         host.token = token;
         host.owner = message.from;
         host.heard_at = now_;
-        host.context->fleet_hosts = static_cast<int>(size());
+        host.context->entry_host_count = static_cast<int>(size());
         host.keeper->TakePlan(body["limits"], token, servers_);
         break;
       }
--- a/tests/node/quarantine_test.cc
+++ b/tests/node/quarantine_test.cc
@@ -54,7 +54,7 @@
     ++incarnation_;
     Add(name);
     // What the listing shows by now.
-    ServersListed listed;
+    ServerListRead listed;
     listed.is_whole = true;
     listed.listed = {Server("app-1", "app"), Server("llm-x", "llm", "llm/m0"),
                      Server("llm-y", "llm", "llm/m0")};
@@ -276,7 +276,7 @@
   SendPoison("a", 3);
   ASSERT_TRUE(IsRefused("b"));
   const size_t sends = sends_.size();
-  AttemptEnded cut = BrokenOff(sent, "partial", /*is_cut=*/true);
+  AttemptEnded cut = MakeBrokenAttemptEnd(sent, "partial", /*is_cut=*/true);
   cut.has_delivered = true;
   cut.can_resume = true;
   Handle(host, cut);
@@ -294,7 +294,7 @@
   const auto [host, sent, at] = BeginCopy();
   SendPoison("a", 3);
   ASSERT_TRUE(IsRefused("a"));
-  Handle(host, EndOf(sent, AttemptResult::kCompleted, ""));
+  Handle(host, MakeAttemptEnd(sent, AttemptResult::kCompleted, ""));
   RunServers(seconds(2));
   EXPECT_EQ(Held("a") + Held("b"), 0u);
   EXPECT_TRUE(quarantined_.empty()) << "the record is withdrawn";
--- a/tests/node/store_relay_test.cc
+++ b/tests/node/store_relay_test.cc
@@ -13,8 +13,8 @@
 using std::chrono::seconds;
 
 constexpr char kTopic[] = "servers";
-constexpr NewsBudget kBudget = NewsBudget::Within(seconds(2));
-constexpr Duration kTrust = kBudget.trust;
+constexpr FreshnessBudget kBudget = FreshnessBudget::Within(seconds(2));
+constexpr Duration kMaxStaleness = kBudget.max_staleness;
 
 // Two hosts of a data centre, the link between them and a store with one topic
 // that gets a record every 100 ms.
@@ -54,13 +54,13 @@
 
   // Reads all new records at once if `host` reads the store itself.
   void ReadStore(Host& host) {
-    if (!host.relay.reads_itself()) return;
+    if (!host.relay.is_reading_store()) return;
     ++host.calls;
     if (!host.has_store) {
       host.context.log_failed = true;
       return;
     }
-    host.context.NoteLogAnswer(now_);
+    host.context.RecordLogResponse(now_);
     const LogOffset from = std::exchange(host.next, end_);
     host.relay.HandleStoreUpdates({.topic = kTopic,
                                    .from = from,
@@ -74,7 +74,8 @@
     for (const Action& action : actions) {
       if (const auto* sent = std::get_if<SendPeer>(&action)) {
         if (!is_link_cut_) link_.push_back({now_ + delay_, name, *sent});
-      } else if (const auto* updates = std::get_if<TakeStoreNews>(&action)) {
+      } else if (const auto* updates =
+                     std::get_if<ApplyStoreUpdates>(&action)) {
         ASSERT_LE(updates->from, host.next) << "a gap";
         host.next = std::max(host.next, updates->next);
         relayed_records_ += updates->records.size();
@@ -126,7 +127,7 @@
       host->relay.SetReader({"reader", "reader"});
     }
     Run(seconds(2));
-    ASSERT_FALSE(follower().relay.reads_itself());
+    ASSERT_FALSE(follower().relay.is_reading_store());
   }
 
   TimePoint now_{std::chrono::hours(500000)};
@@ -157,23 +158,23 @@
 TEST_F(StoreRelayTest, FollowerReadsTheStoreInTimeAfterItsReaderCrashes) {
   StartFollowing();
   reader().is_down = true;
-  Run(kTrust + milliseconds(50));
-  EXPECT_TRUE(follower().relay.reads_itself());
+  Run(kMaxStaleness + milliseconds(50));
+  EXPECT_TRUE(follower().relay.is_reading_store());
   Run(milliseconds(200));
   EXPECT_GE(follower().next + 2, end_);
 }
 
-// Guards against trust in a reader that is partitioned from the store but still
-// sends heartbeats to its followers.
+// Guards against a follower that relies on a reader which is partitioned from
+// the store but still sends heartbeats to its followers.
 TEST_F(StoreRelayTest, FollowerReadsTheStoreWhileItsReaderCannot) {
   StartFollowing();
   reader().has_store = false;
-  Run(kTrust + milliseconds(400));
-  EXPECT_TRUE(follower().relay.reads_itself());
+  Run(kMaxStaleness + milliseconds(400));
+  EXPECT_TRUE(follower().relay.is_reading_store());
   EXPECT_GE(follower().next + 2, end_);
   reader().has_store = true;
   Run(seconds(2));
-  EXPECT_FALSE(follower().relay.reads_itself());
+  EXPECT_FALSE(follower().relay.is_reading_store());
 }
 
 // Guards against messages that were delayed on a link for seconds: by their
@@ -182,9 +183,9 @@
   StartFollowing();
   delay_ = seconds(3);
   Run(seconds(2));
-  ASSERT_TRUE(follower().relay.reads_itself());
+  ASSERT_TRUE(follower().relay.is_reading_store());
   Run(seconds(4));
-  EXPECT_TRUE(follower().relay.reads_itself());
+  EXPECT_TRUE(follower().relay.is_reading_store());
   EXPECT_GE(follower().next + 2, end_);
 }
 
@@ -196,7 +197,7 @@
   Run(milliseconds(500));
   is_link_cut_ = false;
   Run(seconds(2));
-  EXPECT_FALSE(follower().relay.reads_itself());
+  EXPECT_FALSE(follower().relay.is_reading_store());
   EXPECT_GE(follower().next + 2, end_);
 }
 
@@ -221,7 +222,7 @@
   follower().is_down = false;
   link_.clear();
   Step();
-  EXPECT_TRUE(follower().relay.reads_itself());
+  EXPECT_TRUE(follower().relay.is_reading_store());
 }
 
 TEST_F(StoreRelayTest, ReplacedReaderFollowsTheNewOne) {
@@ -229,8 +230,8 @@
   reader().relay.SetReader({"follower", "follower"});
   follower().relay.SetReader({"follower", "follower"});
   Run(seconds(3));
-  EXPECT_TRUE(follower().relay.reads_itself());
-  EXPECT_FALSE(reader().relay.reads_itself());
+  EXPECT_TRUE(follower().relay.is_reading_store());
+  EXPECT_FALSE(reader().relay.is_reading_store());
   EXPECT_GE(reader().next + 2, end_);
 }
 
@@ -242,15 +243,15 @@
   hosts_["backup"]->context.log_answered_at = now_;
   for (auto& [name, host] : hosts_) host->relay.SetBackup({"backup", "backup"});
   StartFollowing();
-  ASSERT_FALSE(hosts_["backup"]->relay.reads_itself());
+  ASSERT_FALSE(hosts_["backup"]->relay.is_reading_store());
   follower().has_store = false;
   reader().is_down = true;
   // The maximum staleness of the reader and of the backup, plus the backup's
   // read and a heartbeat interval of 0.5 s.
-  Run(2 * kTrust + milliseconds(700));
+  Run(2 * kMaxStaleness + milliseconds(700));
   EXPECT_GE(follower().next + 4, end_);
   Run(seconds(2));
-  EXPECT_FALSE(follower().relay.reads_itself());
+  EXPECT_FALSE(follower().relay.is_reading_store());
   EXPECT_GE(follower().next + 4, end_);
 }
 
--- a/tests/node/news_chaos_test.cc
+++ b/tests/node/update_chaos_test.cc
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "tests/node/configuration_text.h"
-#include "tests/node/news_fleet.h"
+#include "tests/node/update_fleet.h"
 
 namespace applehall {
 namespace {
@@ -56,8 +56,8 @@
     int version = 0;
   };
 
-  // Any host may become a reader, also one with a narrow link; ReaderChoice is
-  // not under test here.
+  // Any host may become a reader, also one with a narrow link; ReaderSelector
+  // is not under test here.
   static void AssignReaders(Scenario& scenario) {
     scenario.readers.clear();
     for (int centre = 0; centre < scenario.shape.centres; ++centre) {
--- a/tests/node/news_fleet.h
+++ b/tests/node/update_fleet.h
@@ -1,8 +1,8 @@
 // Simulates hosts that follow the platform's store under a paused clock: their
 // relays, their own reads, and links with a bandwidth and a queue.
 
-#ifndef APPLEHALL_TESTS_NODE_NEWS_FLEET_H_
-#define APPLEHALL_TESTS_NODE_NEWS_FLEET_H_
+#ifndef APPLEHALL_TESTS_NODE_UPDATE_FLEET_H_
+#define APPLEHALL_TESTS_NODE_UPDATE_FLEET_H_
 
 #include <gtest/gtest.h>
 
@@ -83,7 +83,8 @@
     TimePoint at;
   };
 
-  explicit UpdateFleet(Duration bound) : budget_(NewsBudget::Within(bound)) {}
+  explicit UpdateFleet(Duration bound)
+      : budget_(FreshnessBudget::Within(bound)) {}
 
   void Restart(const std::string& name) {
     const double bytes_per_second = host(name).up.bytes_per_second;
@@ -247,13 +248,13 @@
   void Perform(const std::string& name, Host& host, const Action& action) {
     if (const auto* sent = std::get_if<SendPeer>(&action)) {
       Transmit(name, *sent);
-    } else if (const auto* follow = std::get_if<FollowStore>(&action)) {
+    } else if (const auto* follow = std::get_if<SetStorePolling>(&action)) {
       host.is_reading = follow->is_reading;
       for (auto& [topic, reading] : host.topics) {
         reading.as_of = std::max(reading.as_of, follow->as_of);
         if (reading.call == 0) reading.is_due = true;
       }
-    } else if (const auto* updates = std::get_if<TakeStoreNews>(&action)) {
+    } else if (const auto* updates = std::get_if<ApplyStoreUpdates>(&action)) {
       Host::TopicReading& reading = host.topics.at(updates->topic);
       if (reading.next < updates->from || reading.next >= updates->next) return;
       EXPECT_EQ(updates->records,
@@ -372,10 +373,9 @@
   // `to` is 0 if there are no new records.
   void AnswerRead(const std::string& name, const std::string& topic,
                   uint64_t call, LogOffset to) {
-    const Host& requester = *hosts_.at(name);
-    if (requester.unanswered_topics.contains(topic) || requester.is_refused)
-      return;
-    const LogOffset from = requester.topics.at(topic).next;
+    const Host& client = *hosts_.at(name);
+    if (client.unanswered_topics.contains(topic) || client.is_refused) return;
+    const LogOffset from = client.topics.at(topic).next;
     const size_t size =
         kRequestBytes + (to > from ? Bytes(topic, from, to).size() : 0);
     Schedule(now_ + kStoreTime, [this, name, topic, call, from, to, size] {
@@ -429,7 +429,7 @@
     reading.as_of = std::max(reading.as_of, as_of);
     if (has_updates) reading.next = to;
     RunOn(name, [&](Host& h) {
-      h.context.NoteLogAnswer(now_);
+      h.context.RecordLogResponse(now_);
       h.relay.HandleStoreUpdates(
           {.topic = topic,
            .from = has_updates ? from : reading.next,
@@ -453,14 +453,16 @@
     reading.call = 0;
     calls_.erase(call);
     host.context.log_failed = true;
-    reading.retry_pause = std::clamp(2 * reading.retry_pause,
-                                     budget_.retry_pause, 2 * budget_.beat);
+    reading.retry_pause =
+        std::clamp(2 * reading.retry_pause, budget_.retry_pause,
+                   2 * budget_.heartbeat_interval);
     ScheduleRead(name, topic, reading.retry_pause);
   }
 
   Duration UntilRenewal(const Host::TopicReading& reading) const {
     const Duration age = now_ - reading.as_of;
-    return std::clamp(budget_.renewal - age, Duration{0}, budget_.renewal);
+    return std::clamp(budget_.renewal_interval - age, Duration{0},
+                      budget_.renewal_interval);
   }
 
   void ScheduleRead(const std::string& name, const std::string& topic,
@@ -495,7 +497,7 @@
     }
   }
 
-  NewsBudget budget_;
+  FreshnessBudget budget_;
   TimePoint now_{std::chrono::hours(500000)};
   TimePoint ticked_at_ = now_;
   std::map<std::string, TopicLog> logs_{{kConfigTopic, {}}, {kServerTopic, {}}};
@@ -519,4 +521,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_TESTS_NODE_NEWS_FLEET_H_
+#endif  // APPLEHALL_TESTS_NODE_UPDATE_FLEET_H_
