--- a/node/reader_selector.cc
+++ b/node/reader_selector.cc
@@ -1,8 +1,8 @@
+#include "node/reader_selector.h"
+
 #include <algorithm>
 #include <utility>
 
-#include "node/reader_selector.h"
-
 namespace applehall {
 namespace {
 
--- a/node/topic_freshness.cc
+++ b/node/topic_freshness.cc
@@ -1,7 +1,7 @@
-#include <algorithm>
-
 #include "node/topic_freshness.h"
 
+#include <algorithm>
+
 namespace applehall {
 
 void TopicFreshness::Merge(const TopicState& report, TopicState& known) {
--- a/tests/node/freshness_budget_test.cc
+++ b/tests/node/freshness_budget_test.cc
@@ -1,7 +1,7 @@
-#include <gtest/gtest.h>
-
 #include "node/freshness_budget.h"
 
+#include <gtest/gtest.h>
+
 namespace applehall {
 namespace {
 
--- a/tests/node/reader_selector_test.cc
+++ b/tests/node/reader_selector_test.cc
@@ -1,7 +1,7 @@
-#include <gtest/gtest.h>
-
 #include "node/reader_selector.h"
 
+#include <gtest/gtest.h>
+
 namespace applehall {
 namespace {
 
