--- a/node/fleet_keeper.cc
+++ b/node/fleet_keeper.cc
@@ -223,7 +223,7 @@
   planner_->SetServers(servers_, context_.now);
   applied_.clear();
   told_.clear();
-  quarantine_.RestartRows(last_news_);
+  quarantine_.RenumberRows(last_news_);
   quotas_.StartPlanning();
   limits_.StartPlanning(last_news_);
   readers_.Restart(context_.now);
@@ -257,7 +257,7 @@
 // Gives the lease up where this host must not go on, once nothing that it
 // ordered is open.
 void FleetKeeper::HandOver() {
-  if (!planner_ || !planner_->IsQuiet()) return;
+  if (!planner_ || !planner_->IsIdle()) return;
   if (context_.is_draining) {
     SayResigned();
     lease_.Release();
@@ -341,7 +341,7 @@
   const double link = context_.settings.link_mbps;
   if (link > 0 && link < kWideLinkMbps) body["b"] = link;
   body["s"] = CanReadStore();
-  Json ends = quarantine_.TakeReportRows(lease_.NewestOwner().token);
+  Json ends = quarantine_.BuildReportRows(lease_.NewestOwner().token);
   if (!ends.is_null()) body[kServerEnds] = std::move(ends);
   Json usage = quotas_.ReportRows();
   if (!usage.empty()) body[kQuotaRows] = std::move(usage);
@@ -375,7 +375,7 @@
   if (body.contains(kQuotaRows)) {
     quotas_.TakeReport(host, peer.data_centre, body[kQuotaRows]);
   }
-  limits_.NoteHost(host);
+  limits_.RecordHostContact(host);
   if (body.contains(kLimitRows)) {
     limits_.TakeReport(host, body[kLimitRows], servers_);
   }
@@ -409,11 +409,11 @@
   quarantine_.NumberRows(last_news_);
   limits_.NumberRows(last_news_);
   for (const auto& [id, server] : servers_) {
-    const uint64_t version = planner_->VersionOf(id);
+    const uint64_t version = planner_->StateVersion(id);
     Applied& applied = applied_[id];
     if (version == 0 || applied.version == version) continue;
     applied.version = version;
-    std::vector<std::string> ready = planner_->ReadyOn(id);
+    std::vector<std::string> ready = planner_->ReadyTargetsOf(id);
     std::vector<std::string>& announced = announced_[id];
     const bool is_told = applied.news != 0 && announced == ready;
     // Told again when a host waits for what it should know to be ready.
@@ -437,7 +437,7 @@
 }
 
 void FleetKeeper::LogNotes() {
-  for (const PlacementNote& note : planner_->TakeNotes()) {
+  for (const PlacementEvent& note : planner_->TakeEvents()) {
     context_.metrics.Count(
         absl::StrCat("placement_total{event=\"", note.event, "\"}"));
     if (note.event == "load_ready") context_.metrics.Observe("load", note.took);
@@ -521,8 +521,8 @@
 EngineLoads FleetKeeper::SumLoads() const {
   EngineLoads busy;
   for (const auto& [id, server] : servers_) {
-    const EngineLoad load{planner_->RequestsAt(id),
-                          planner_->ArrivalsAt(id, context_.now)};
+    const EngineLoad load{planner_->RunningRequestCount(id),
+                          planner_->ArrivalRate(id, context_.now)};
     if (load.running >= kToldLoad * server.slots ||
         load.arrivals >= kToldArrivals * server.slots) {
       busy[id] = load;
@@ -602,7 +602,7 @@
     const DemandAnswer answer = planner_->Answer(target, context_.now);
     body["w"].push_back(Json::array({target, static_cast<int>(answer.status),
                                      ToMillis(answer.expected),
-                                     static_cast<int>(answer.put_off)}));
+                                     static_cast<int>(answer.deferral)}));
   }
   Json ack = quarantine_.TakeAckFor(host);
   if (!ack.is_null()) body[kServerEnds] = std::move(ack);
@@ -644,11 +644,11 @@
     }
     const int told =
         row.size() > 3 && row[3].is_number_integer() ? row[3].get<int>() : 0;
-    const int put_off =
-        std::clamp(told, 0, static_cast<int>(PutOff::kEngineBusy));
+    const int deferral =
+        std::clamp(told, 0, static_cast<int>(Deferral::kEngineBusy));
     answers.push_back(
         {row[0].get<std::string>(), "", static_cast<DemandStatus>(status),
-         milliseconds(row[2].get<int64_t>()), static_cast<PutOff>(put_off)});
+         milliseconds(row[2].get<int64_t>()), static_cast<Deferral>(deferral)});
   }
   return answers;
 }
@@ -691,7 +691,7 @@
   quarantine_.RunTick(planner_ != nullptr, lease_.HeardWithin(kPlanLife));
   quotas_.RunTick(reader_);
   limits_.RunTick(lease_.Owner(), lease_.NewestOwner().token,
-                  lease_.HeardWithin(kOwnerTrust));
+                  lease_.HeardWithin(kOwnerContactTtl));
   if (planner_) {
     const bool has_news = HasNewWaiting();
     if (has_news || context_.now - reported_at_ >= kBeatInterval) {
--- a/node/fleet_keeper.h
+++ b/node/fleet_keeper.h
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "node/engine_loads.h"
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 #include "node/node_context.h"
 #include "node/placement_lease.h"
-#include "node/quarantine_keeper.h"
-#include "node/quota_keeper.h"
+#include "node/quarantine_manager.h"
+#include "node/quota_manager.h"
 #include "node/reader_selector.h"
 #include "node/store_relay.h"
 #include "placement/fleet_planner.h"
@@ -29,8 +29,8 @@
 // cut off from it, a host goes on serving what the listing shows as loaded.
 class FleetKeeper {
  public:
-  FleetKeeper(NodeContext& context, QuarantineKeeper& quarantine,
-              QuotaKeeper& quotas, LimitKeeper& limits)
+  FleetKeeper(NodeContext& context, QuarantineManager& quarantine,
+              QuotaManager& quotas, LimitManager& limits)
       : context_(context),
         quarantine_(quarantine),
         quotas_(quotas),
@@ -118,9 +118,9 @@
   bool IsLaterLife(const ListedServer& server);
 
   NodeContext& context_;
-  QuarantineKeeper& quarantine_;
-  QuotaKeeper& quotas_;
-  LimitKeeper& limits_;
+  QuarantineManager& quarantine_;
+  QuotaManager& quotas_;
+  LimitManager& limits_;
   EngineList servers_;
   // Not listed any more, but only since the store was away: they may be back.
   std::set<std::string> departing_;
--- a/node/group_keeper.cc
+++ b/node/group_keeper.cc
@@ -187,7 +187,7 @@
       // lease lapsed. Orders stop here at once; the release follows when none
       // is under way.
       held->second->Stop();
-      for (int i = held->second->TakeOpenStoreLoads(); i > 0; --i) {
+      for (int i = held->second->ReleaseStoreLoads(); i > 0; --i) {
         store_.End();
       }
       retiring_.push_back(std::move(held->second));
@@ -270,7 +270,7 @@
 }
 
 void GroupKeeper::LogNotes(EngineOwner& owner) {
-  for (const PlacementNote& note : owner.TakeNotes()) {
+  for (const PlacementEvent& note : owner.TakeEvents()) {
     context_.metrics.Count(
         absl::StrCat("placement_total{event=\"", note.event, "\"}"));
     if (note.event == "load_ready" && note.took > Duration::zero()) {
@@ -395,12 +395,12 @@
       context_.Emit(SendOrder{std::move(order.engine), std::move(order.address),
                               std::move(order.order)});
     }
-    if (owner->IsQuiet(context_.now) && !context_.IsLogDown()) release(*owner);
+    if (owner->IsIdle(context_.now) && !context_.IsLogDown()) release(*owner);
     return false;
   });
   if (!context_.is_draining) return;
   for (auto& [group, owner] : owners_) {
-    if (owner->IsQuiet(context_.now) && !context_.IsLogDown()) release(*owner);
+    if (owner->IsIdle(context_.now) && !context_.IsLogDown()) release(*owner);
   }
 }
 
@@ -408,7 +408,7 @@
   if (context_.now - asked_store_at_ < kBorrowInterval) return;
   const bool wants = std::any_of(
       owners_.begin(), owners_.end(),
-      [](const auto& entry) { return entry.second->wants_store(); });
+      [](const auto& entry) { return entry.second->needs_store(); });
   if (!wants) return;
   asked_store_at_ = context_.now;
   // One other owner at a time, drawn at random: no owner asks everybody.
@@ -457,7 +457,7 @@
   for (const auto& owner : retiring_) {
     json["retiring"].push_back(owner->ToJson(context_.now));
   }
-  json["store"] = Json{{"loads_saved", store_.loads_saved(context_.now)},
+  json["store"] = Json{{"loads_saved", store_.available_loads(context_.now)},
                        {"slots", store_.slots(context_.now)},
                        {"slots_in_use", store_.slots_in_use()}};
   for (const auto& [group, heard] : beats_) {
--- a/node/node.cc
+++ b/node/node.cc
@@ -96,7 +96,7 @@
   context_.log_answered_at = context_.now;
   context_.log_failed = false;
   if (event.batch.stream == kClaimsStream) {
-    flow_.TakeClaims(event.batch);
+    flow_.HandleClaims(event.batch);
     return;
   }
   context_.control.Apply(event.batch);
@@ -144,7 +144,7 @@
   writer_.Ended(event.record_id);
   if (event.is_appended) return;
   context_.metrics.Count("log_appends_unanswered_total");
-  flow_.ClaimAppendFailed(event.record_id);
+  flow_.HandleClaimAppendFailed(event.record_id);
 }
 
 void Node::HandleEvent(const HostListRead& event) {
@@ -226,7 +226,7 @@
       return;
     }
     case PeerMessageType::kDemandAnswer:
-      flow_.TakeDemandAnswer(ParseDemandAnswer(body));
+      flow_.HandleDemandAnswer(ParseDemandAnswer(body));
       return;
     case PeerMessageType::kStoreBorrow:
       groups_.TakeStoreBorrow(event.host, body);
@@ -239,7 +239,7 @@
       return;
     case PeerMessageType::kFleetPlan:
       for (const DemandAnswer& answer : fleet_.TakePlan(event.host, body)) {
-        flow_.TakeDemandAnswer(answer);
+        flow_.HandleDemandAnswer(answer);
       }
       flow_.PumpAll();
       return;
@@ -251,16 +251,16 @@
       fleet_.NoteOwner(StoreRelay::ParseOwner(body));
       return;
     case PeerMessageType::kQuotaUsage:
-      quotas_.TakeCentreUsage(event.host, body);
+      quotas_.HandleCentreUsage(event.host, body);
       return;
     case PeerMessageType::kQuotaWord:
-      quotas_.TakeCentreWord(body);
+      quotas_.HandleCentreShares(body);
       return;
     case PeerMessageType::kPermitAsk:
-      limits_.TakeAsks(event.host, body);
+      limits_.HandlePermitRequests(event.host, body);
       return;
     case PeerMessageType::kPermitAnswer:
-      limits_.TakeAnswers(body);
+      limits_.HandlePermitAnswers(body);
       return;
   }
 }
@@ -278,7 +278,7 @@
   if (IsFleet()) {
     flow_.RunTick();
     for (const DemandAnswer& answer : fleet_.RunTick()) {
-      flow_.TakeDemandAnswer(answer);
+      flow_.HandleDemandAnswer(answer);
     }
     flow_.PumpAll();
     relay_.SetReader(fleet_.reader());
@@ -288,7 +288,7 @@
     FinishDrain();
     return;
   }
-  quarantine_.RunTick(/*is_owner=*/false, /*hears_owner=*/false);
+  quarantine_.RunTick(/*is_owner=*/false, /*is_owner_reachable=*/false);
   groups_.RunTick();
   flow_.RunTick();
   gossip_.RunTick();
--- a/node/node.h
+++ b/node/node.h
@@ -7,11 +7,11 @@
 #include "node/fleet_keeper.h"
 #include "node/gossip.h"
 #include "node/group_keeper.h"
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 #include "node/log_writer.h"
 #include "node/node_context.h"
-#include "node/quarantine_keeper.h"
-#include "node/quota_keeper.h"
+#include "node/quarantine_manager.h"
+#include "node/quota_manager.h"
 #include "node/request_flow.h"
 #include "node/store_relay.h"
 
@@ -57,10 +57,16 @@
   const StoreRelay& relay() const { return relay_; }
 
  private:
-  void HandleEvent(const RequestArrived& event) { flow_.Arrive(event); }
-  void HandleEvent(const CallerDisconnected& event) { flow_.CallerLeft(event); }
-  void HandleEvent(const AttemptStarted& event) { flow_.Started(event); }
-  void HandleEvent(const AttemptEnded& event) { flow_.Ended(event); }
+  void HandleEvent(const RequestArrived& event) { flow_.HandleArrival(event); }
+  void HandleEvent(const CallerDisconnected& event) {
+    flow_.HandleCallerDisconnected(event);
+  }
+  void HandleEvent(const AttemptStarted& event) {
+    flow_.HandleAttemptStarted(event);
+  }
+  void HandleEvent(const AttemptEnded& event) {
+    flow_.HandleAttemptEnded(event);
+  }
   void HandleEvent(const ServerProbed& event) { flow_.TakeProbe(event); }
   void HandleEvent(const InventoryReceived& event);
   void HandleEvent(const LogBatchRead& event);
@@ -104,9 +110,9 @@
   LogWriter writer_;
   GroupKeeper groups_;
   Gossip gossip_;
-  QuarantineKeeper quarantine_;
-  QuotaKeeper quotas_;
-  LimitKeeper limits_;
+  QuarantineManager quarantine_;
+  QuotaManager quotas_;
+  LimitManager limits_;
   FleetKeeper fleet_;
   RequestFlow flow_;
   StoreRelay relay_;
--- a/node/request_decider.cc
+++ b/node/request_decider.cc
@@ -93,7 +93,7 @@
       request.team ? context_.teams->Find(*request.team) : nullptr;
   if (team == nullptr || !team->quota.is_limited()) return std::nullopt;
   const double cost = team->CostOf(request.arrival.declared_tokens);
-  if (auto refusal = quotas_.Ask(*team, cost)) return refusal;
+  if (auto refusal = quotas_.Charge(*team, cost)) return refusal;
   request.quota_cost = cost;
   return std::nullopt;
 }
--- a/tests/node/quarantine_test.cc
+++ b/tests/node/quarantine_test.cc
@@ -327,12 +327,12 @@
   context.actions = &actions;
   context.now = TimePoint{std::chrono::hours(500000)};
   LogWriter writer(context);
-  QuarantineKeeper keeper(context, writer);
-  const auto reads = [&](bool is_owner, bool hears_owner) {
+  QuarantineManager keeper(context, writer);
+  const auto reads = [&](bool is_owner, bool is_owner_reachable) {
     actions.clear();
     for (int i = 0; i < 400; ++i) {
       context.now += milliseconds(25);
-      keeper.RunTick(is_owner, hears_owner);
+      keeper.RunTick(is_owner, is_owner_reachable);
     }
     return actions.size();
   };
