--- a/node/limit_manager.cc
+++ b/node/limit_manager.cc
@@ -276,7 +276,7 @@
   owner_ = owner;
   token_ = token;
   is_owner_reachable_ = is_reachable && !owner.host.empty();
-  if (is_owner_reachable_ || ledger_) known_hosts_ = context_.fleet_hosts;
+  if (is_owner_reachable_ || ledger_) known_hosts_ = context_.entry_host_count;
   if (registry_.empty() && requests_.empty()) return;
   if (ledger_) {
     ledger_->NoteHost(context_.settings.self.host, context_.now);
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -95,7 +95,7 @@
 std::optional<Refusal> RequestFlow::CheckLimits(const RequestArrived& event) {
   const bool still_serves =
       context_.settings.serves_while_draining &&
-      context_.now - context_.drain_began < context_.settings.drain_least;
+      context_.now - context_.drain_began < context_.settings.min_drain;
   if (context_.is_draining && !still_serves) {
     return NotRun(RefusalReason::kDraining, "this host is being replaced",
                   kRetrySoon);
@@ -104,7 +104,7 @@
     return NotRun(RefusalReason::kNoRuleSet, "no rule set is in force yet",
                   kRetrySoon);
   }
-  if (requests_.size() >= context_.settings.most_requests ||
+  if (requests_.size() >= context_.settings.max_open_requests ||
       targets_.size() >= kMaxTargets) {
     return NotRun(RefusalReason::kQueueFull, "this host has no capacity left",
                   kRetrySoon);
@@ -116,7 +116,7 @@
     const std::string& caller) const {
   const auto known = callers_.find(caller);
   if (known == callers_.end() ||
-      known->second.open < context_.settings.most_in_flight_per_caller) {
+      known->second.open < context_.settings.max_in_flight_per_caller) {
     return std::nullopt;
   }
   return NotRun(RefusalReason::kTooManyInFlight,
@@ -675,7 +675,7 @@
   if (IsFleet()) {
     RetryBudget& per_service = backend_retries_[request.service];
     per_service.SetMaxSaved(context_.settings.retry_slack /
-                            context_.fleet_hosts);
+                            context_.entry_host_count);
     return per_service.TrySpend();
   }
   RetryBudget& per_caller = callers_[request.arrival.facts.caller].retries;
@@ -738,7 +738,7 @@
   log_.LogRefusal(event, rule, refusal);
 }
 
-void RequestFlow::HandleCallerDisconnected(const CallerGone& event) {
+void RequestFlow::HandleCallerDisconnected(const CallerDisconnected& event) {
   if (early_.CancelHeld(event.handle)) return;
   Request* request = Find(event.handle);
   if (request == nullptr) return;
--- a/tests/node/early_request_test.cc
+++ b/tests/node/early_request_test.cc
@@ -47,7 +47,7 @@
   Start("a");
   Arrive("a", 1, "/once/x");
   EXPECT_TRUE(Refused().empty());
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(milliseconds(50));
   ASSERT_EQ(Refused().size(), 1u);
   EXPECT_EQ(Refused()[0].refusal.reason, RefusalReason::kNoRuleSet);
@@ -68,7 +68,7 @@
 TEST_F(EarlyRequestTest, RequestOfDepartedCallerIsRemoved) {
   Start("a");
   Arrive("a", 1, "/once/x");
-  Handle("a", CallerGone{1});
+  Handle("a", CallerDisconnected{1});
   Teach("a");
   Run(milliseconds(100));
   EXPECT_EQ(Sent(), 0u);
--- a/tests/node/limit_fleet.h
+++ b/tests/node/limit_fleet.h
@@ -208,7 +208,7 @@
     host.token = token_;
     last_update_ = 0;
     for (Host& other : hosts_) other.sent_update = 0;
-    host.context->fleet_hosts = static_cast<int>(size());
+    host.context->entry_host_count = static_cast<int>(size());
     host.manager->StartPlanning(last_update_);
     for (size_t j = 0; j < size(); ++j) {
       if (j != i) hosts_[j].manager->StopPlanning();
@@ -271,7 +271,7 @@
         host.token = token;
         host.owner = message.from;
         host.plan_received_at = now_;
-        host.context->fleet_hosts = static_cast<int>(size());
+        host.context->entry_host_count = static_cast<int>(size());
         host.manager->TakePlan(body["limits"], token, servers_);
         break;
       }
--- a/tests/node/quarantine_test.cc
+++ b/tests/node/quarantine_test.cc
@@ -56,7 +56,7 @@
     ++incarnation_;
     Add(name);
     // The present server list.
-    ServersListed listed;
+    ServerListRead listed;
     listed.is_whole = true;
     listed.listed = {Server("app-1", "app"), Server("llm-x", "llm", "llm/m0"),
                      Server("llm-y", "llm", "llm/m0")};
@@ -280,7 +280,7 @@
   SendPoison("a", 3);
   ASSERT_TRUE(IsRefused("b"));
   const size_t sends = dispatches_.size();
-  AttemptEnded cut = BrokenOff(sent, "partial", /*is_cut=*/true);
+  AttemptEnded cut = MakeBrokenAttemptEnd(sent, "partial", /*is_cut=*/true);
   cut.has_delivered = true;
   cut.can_resume = true;
   Handle(host, cut);
@@ -298,7 +298,7 @@
   const auto [host, sent, at] = StartCopy();
   SendPoison("a", 3);
   ASSERT_TRUE(IsRefused("a"));
-  Handle(host, EndOf(sent, AttemptResult::kCompleted, ""));
+  Handle(host, MakeAttemptEnd(sent, AttemptResult::kCompleted, ""));
   RunServers(seconds(2));
   EXPECT_EQ(CountQuarantined("a") + CountQuarantined("b"), 0u);
   EXPECT_TRUE(quarantined_.empty()) << "the record is withdrawn";
--- a/tests/node/server_limit_fixture.h
+++ b/tests/node/server_limit_fixture.h
@@ -70,7 +70,7 @@
     for (const auto& [at, answer] : ended) {
       const AttemptResult result =
           is_failing_ ? AttemptResult::kBroken : AttemptResult::kCompleted;
-      AttemptEnded end = EndOf(answer.sent, result, "");
+      AttemptEnded end = MakeAttemptEnd(answer.sent, result, "");
       end.limit = answer.reported_limit;
       Handle(answer.host, end);
     }
