--- a/claims/claim_fold.cc
+++ b/claims/claim_fold.cc
@@ -34,9 +34,9 @@
   return record;
 }
 
-std::vector<ClaimFold::Judgement> ClaimFold::Apply(const LogBatch& batch,
-                                                   TimePoint now) {
-  std::vector<Judgement> judgements;
+std::vector<ClaimFold::Outcome> ClaimFold::Apply(const LogBatch& batch,
+                                                 TimePoint now) {
+  std::vector<Outcome> outcomes;
   is_read_ = true;
   if (batch.first_offset > next_offset_) {
     // Records expired before this host read them. Keys that may have been
@@ -47,14 +47,14 @@
   for (const LogRecord& record : batch.records) {
     if (record.offset != next_offset_) continue;
     next_offset_ = record.offset + 1;
-    ApplyRecord(record, judgements);
+    ApplyRecord(record, outcomes);
   }
   Prune(now);
-  return judgements;
+  return outcomes;
 }
 
 void ClaimFold::ApplyRecord(const LogRecord& record,
-                            std::vector<Judgement>& out) {
+                            std::vector<Outcome>& out) {
   const absl::StatusOr<Json> body = ParseJson(record.payload);
   if (!body.ok() || FieldOr<std::string>(*body, "type", "") != kClaimsType) {
     return;
@@ -67,13 +67,13 @@
   }
 }
 
-void ClaimFold::ApplyClaim(const Json& item, std::vector<Judgement>& out) {
+void ClaimFold::ApplyClaim(const Json& item, std::vector<Outcome>& out) {
   const std::string key = FieldOr<std::string>(item, "k", "");
   const std::string claim_id = FieldOr<std::string>(item, "c", "");
   if (key.empty() || claim_id.empty()) return;
   // The writer repeats an append whose answer was lost. The first copy may
   // already have won and been released without a run.
-  if (ended_.contains(claim_id)) {
+  if (released_.contains(claim_id)) {
     out.push_back({claim_id, key, false});
     return;
   }
@@ -81,7 +81,7 @@
   const auto [it, is_new] = keys_.try_emplace(key);
   if (is_new) {
     it->second = {claim_id, issued, KeyStatus::kRunning};
-    by_issue_.emplace(issued, key);
+    keys_by_issue_time_.emplace(issued, key);
   }
   // A host that was paused beyond the log's retention has missed records, and
   // another claim of this key may have won in one of them. Only claims of keys
@@ -98,7 +98,7 @@
   const bool is_holder = it != keys_.end() && it->second.claim_id == claim_id;
   const Verdict verdict = VerdictFromName(FieldOr<std::string>(item, "v", ""));
   if (verdict == Verdict::kNotRun) {
-    ended_[claim_id] = time;
+    released_[claim_id] = time;
     if (is_holder) keys_.erase(it);
     return;
   }
@@ -107,7 +107,7 @@
       verdict == Verdict::kRan ? KeyStatus::kRan : KeyStatus::kMayHaveRun;
 }
 
-TimePoint ClaimFold::Floor(TimePoint now) const {
+TimePoint ClaimFold::MinIssueTime(TimePoint now) const {
   return std::max(now - window_.kept, unread_before_ + window_.clock_skew);
 }
 
@@ -116,24 +116,25 @@
                                        TimePoint now) const {
   const auto it = keys_.find(key);
   if (it != keys_.end()) return it->second.status;
-  if (issued_at < Floor(now)) return KeyStatus::kTooOld;
+  if (issued_at < MinIssueTime(now)) return KeyStatus::kTooOld;
   if (issued_at > now + window_.clock_skew) return KeyStatus::kIssuedAhead;
   return KeyStatus::kFree;
 }
 
 void ClaimFold::Prune(TimePoint now) {
-  // Keys are kept beyond Floor() by more than any two hosts' clocks may differ,
-  // so that no host removes a key that another would still accept.
+  // Keys are kept beyond MinIssueTime() by more than any two hosts' clocks may
+  // differ, so that no host removes a key that another would still accept.
   const TimePoint limit = now - window_.kept - 2 * window_.clock_skew;
-  while (!by_issue_.empty() && by_issue_.begin()->first < limit) {
-    const auto oldest = by_issue_.begin();
+  while (!keys_by_issue_time_.empty() &&
+         keys_by_issue_time_.begin()->first < limit) {
+    const auto oldest = keys_by_issue_time_.begin();
     const auto it = keys_.find(oldest->second);
     if (it != keys_.end() && it->second.issued_at == oldest->first) {
       keys_.erase(it);
     }
-    by_issue_.erase(oldest);
+    keys_by_issue_time_.erase(oldest);
   }
-  std::erase_if(ended_,
+  std::erase_if(released_,
                 [limit](const auto& entry) { return entry.second < limit; });
 }
 
--- a/claims/claim_fold.h
+++ b/claims/claim_fold.h
@@ -48,7 +48,7 @@
  public:
   explicit ClaimFold(ClaimWindow window) : window_(window) {}
 
-  struct Judgement {
+  struct Outcome {
     std::string claim_id;
     std::string key;
     bool is_winner = false;
@@ -56,7 +56,7 @@
 
   // Applies a batch and returns the outcome of each claim in it. Records
   // already applied are ignored. Not thread-safe.
-  std::vector<Judgement> Apply(const LogBatch& batch, TimePoint now);
+  std::vector<Outcome> Apply(const LogBatch& batch, TimePoint now);
 
   enum class KeyStatus : uint8_t {
     kFree,
@@ -70,7 +70,7 @@
   KeyStatus Lookup(const std::string& key, TimePoint issued_at,
                    TimePoint now) const;
   // Returns the time before which issued keys are refused. Not thread-safe.
-  TimePoint Floor(TimePoint now) const;
+  TimePoint MinIssueTime(TimePoint now) const;
   LogOffset next_offset() const { return next_offset_; }
   // False until the stream has been read once.
   bool is_read() const { return is_read_; }
@@ -83,8 +83,8 @@
     KeyStatus status = KeyStatus::kRunning;
   };
 
-  void ApplyRecord(const LogRecord& record, std::vector<Judgement>& out);
-  void ApplyClaim(const Json& item, std::vector<Judgement>& out);
+  void ApplyRecord(const LogRecord& record, std::vector<Outcome>& out);
+  void ApplyClaim(const Json& item, std::vector<Outcome>& out);
   void ApplyEnd(const Json& item, TimePoint time);
   void Prune(TimePoint now);
 
@@ -94,10 +94,10 @@
   // Claims before this time may have expired before they were read.
   TimePoint unread_before_;
   absl::flat_hash_map<std::string, KeyEntry> keys_;
-  std::multimap<TimePoint, std::string> by_issue_;
+  std::multimap<TimePoint, std::string> keys_by_issue_time_;
   // Released claims with the time of their release; a duplicate record of one
   // must not win its key again.
-  std::map<std::string, TimePoint> ended_;
+  std::map<std::string, TimePoint> released_;
 };
 
 }  // namespace applehall
--- a/claims/claim_guard.cc
+++ b/claims/claim_guard.cc
@@ -34,82 +34,86 @@
     default:
       return Standing::kDuplicate;
   }
-  Wish wish;
-  wish.handle = handle;
-  wish.claim = {key, NextId('c'), self_.host, *issued};
-  claim_of_[handle] = wish.claim.claim_id;
-  wishes_[wish.claim.claim_id] = std::move(wish);
+  PendingClaim pending;
+  pending.handle = handle;
+  pending.claim = {key, NextId('c'), self_.host, *issued};
+  claim_ids_[handle] = pending.claim.claim_id;
+  pending_claims_[pending.claim.claim_id] = std::move(pending);
   if (!oldest_unwritten_) oldest_unwritten_ = now;
   return Standing::kPending;
 }
 
 void ClaimGuard::Abandon(RequestHandle handle, TimePoint now) {
-  const auto it = claim_of_.find(handle);
-  if (it == claim_of_.end()) return;
-  Wish& wish = wishes_.at(it->second);
-  wish.handle = 0;
-  const bool was_sent = wish.is_written;
-  const bool is_granted = wish.is_granted;
-  const ClaimEnd end{wish.claim.key, wish.claim.claim_id, Verdict::kNotRun};
-  claim_of_.erase(it);
+  const auto it = claim_ids_.find(handle);
+  if (it == claim_ids_.end()) return;
+  PendingClaim& pending = pending_claims_.at(it->second);
+  pending.handle = 0;
+  const bool was_sent = pending.is_written;
+  const bool is_granted = pending.is_granted;
+  const ClaimEnd end{pending.claim.key, pending.claim.claim_id,
+                     Verdict::kNotRun};
+  claim_ids_.erase(it);
   // A claim in flight may still win; it is released in any case, so that the
   // caller may use the key again.
   if (was_sent || is_granted) {
-    ends_.push_back(end);
+    unsent_ends_.push_back(end);
     if (!oldest_unwritten_) oldest_unwritten_ = now;
   }
-  wishes_.erase(end.claim_id);
+  pending_claims_.erase(end.claim_id);
 }
 
 void ClaimGuard::End(RequestHandle handle, Verdict verdict, TimePoint now) {
-  const auto it = claim_of_.find(handle);
-  if (it == claim_of_.end()) return;
-  const auto wish = wishes_.find(it->second);
-  ends_.push_back(
-      {wish->second.claim.key, wish->second.claim.claim_id, verdict});
+  const auto it = claim_ids_.find(handle);
+  if (it == claim_ids_.end()) return;
+  const auto pending = pending_claims_.find(it->second);
+  unsent_ends_.push_back(
+      {pending->second.claim.key, pending->second.claim.claim_id, verdict});
   if (!oldest_unwritten_) oldest_unwritten_ = now;
-  wishes_.erase(wish);
-  claim_of_.erase(it);
+  pending_claims_.erase(pending);
+  claim_ids_.erase(it);
 }
 
-void ClaimGuard::Judge(const ClaimFold::Judgement& judgement, TimePoint now) {
-  const auto it = wishes_.find(judgement.claim_id);
-  if (it == wishes_.end()) return;
-  Wish& wish = it->second;
+void ClaimGuard::ApplyOutcome(const ClaimFold::Outcome& outcome,
+                              TimePoint now) {
+  const auto it = pending_claims_.find(outcome.claim_id);
+  if (it == pending_claims_.end()) return;
+  PendingClaim& pending = it->second;
   // A duplicate record repeats the outcome; a request is granted only once.
-  if (wish.is_granted) return;
-  if (judgement.is_winner) {
-    wish.is_granted = true;
-    granted_.push_back(wish.handle);
+  if (pending.is_granted) return;
+  if (outcome.is_winner) {
+    pending.is_granted = true;
+    granted_.push_back(pending.handle);
     return;
   }
   refused_.push_back(
-      {wish.handle, fold_.Lookup(wish.claim.key, wish.claim.issued_at, now)});
-  claim_of_.erase(wish.handle);
-  wishes_.erase(it);
+      {pending.handle,
+       fold_.Lookup(pending.claim.key, pending.claim.issued_at, now)});
+  claim_ids_.erase(pending.handle);
+  pending_claims_.erase(it);
 }
 
 void ClaimGuard::Apply(const LogBatch& batch, TimePoint now) {
-  for (const ClaimFold::Judgement& judgement : fold_.Apply(batch, now)) {
-    Judge(judgement, now);
+  for (const ClaimFold::Outcome& outcome : fold_.Apply(batch, now)) {
+    ApplyOutcome(outcome, now);
   }
   if (batch_id_.empty()) return;
   // Reading the own record back completes the append, answered or not.
   const std::string needle = Json(batch_id_).dump();
-  const bool is_back = std::any_of(
+  const bool is_read_back = std::any_of(
       batch.records.begin(), batch.records.end(), [&](const LogRecord& record) {
         return record.payload.find(needle) != std::string::npos;
       });
-  if (!is_back) return;
+  if (!is_read_back) return;
   batch_id_.clear();
-  ends_sent_.clear();
+  sent_ends_.clear();
 }
 
 void ClaimGuard::AppendFailed(const std::string& record_id, TimePoint now) {
   if (record_id != batch_id_ || batch_id_.empty()) return;
   batch_id_.clear();
-  ends_.insert(ends_.begin(), ends_sent_.begin(), ends_sent_.end());
-  ends_sent_.clear();
+  unsent_ends_.insert(unsent_ends_.begin(), sent_ends_.begin(),
+                      sent_ends_.end());
+  sent_ends_.clear();
   // Claims without an outcome are written again under the same claim ids.
   // `is_written` stays set, as the first copy may have reached the log.
   if (!oldest_unwritten_) oldest_unwritten_ = now;
@@ -125,22 +129,22 @@
   }
   std::vector<Claim> claims;
   bool is_more_left = false;
-  for (auto& [claim_id, wish] : wishes_) {
-    if (wish.is_granted) continue;
-    if (claims.size() >= settings_.most_in_batch) {
+  for (auto& [claim_id, pending] : pending_claims_) {
+    if (pending.is_granted) continue;
+    if (claims.size() >= settings_.max_batch_size) {
       is_more_left = true;
       break;
     }
-    wish.is_written = true;
-    claims.push_back(wish.claim);
+    pending.is_written = true;
+    claims.push_back(pending.claim);
   }
   oldest_unwritten_.reset();
   if (is_more_left) oldest_unwritten_ = now;
-  if (claims.empty() && ends_.empty()) return std::nullopt;
-  ends_sent_ = std::exchange(ends_, {});
+  if (claims.empty() && unsent_ends_.empty()) return std::nullopt;
+  sent_ends_ = std::exchange(unsent_ends_, {});
   batch_id_ = NextId('b');
   batch_sent_at_ = now;
-  return ClaimsRecord(batch_id_, claims, ends_sent_);
+  return ClaimsRecord(batch_id_, claims, sent_ends_);
 }
 
 std::vector<RequestHandle> ClaimGuard::TakeGranted() {
@@ -158,7 +162,7 @@
 }
 
 Json ClaimGuard::ToJson() const {
-  return Json{{"claims_under_way", wishes_.size()},
+  return Json{{"claims_under_way", pending_claims_.size()},
               {"keys_known", fold_.key_count()},
               {"next_offset", fold_.next_offset()},
               {"stream_read", fold_.is_read()},
--- a/claims/claim_guard.h
+++ b/claims/claim_guard.h
@@ -19,7 +19,7 @@
   // An append without an answer is retried after this time, with the same claim
   // ids.
   Duration append_timeout = std::chrono::seconds(2);
-  size_t most_in_batch = 256;
+  size_t max_batch_size = 256;
 };
 
 // Ensures that a request that may not be repeated runs at most once over all
@@ -73,14 +73,14 @@
   Json ToJson() const;
 
  private:
-  struct Wish {
+  struct PendingClaim {
     RequestHandle handle = 0;  // Zero once abandoned.
     Claim claim;
     bool is_written = false;  // Part of an appended batch.
     bool is_granted = false;
   };
 
-  void Judge(const ClaimFold::Judgement& judgement, TimePoint now);
+  void ApplyOutcome(const ClaimFold::Outcome& outcome, TimePoint now);
 
   std::string NextId(char kind);
 
@@ -88,11 +88,11 @@
   ClaimSettings settings_;
   uint64_t id_count_ = 0;
   ClaimFold fold_;
-  std::map<std::string, Wish> wishes_;  // By claim id.
-  std::map<RequestHandle, std::string> claim_of_;
-  std::vector<ClaimEnd> ends_;       // To be appended.
-  std::vector<ClaimEnd> ends_sent_;  // In the pending batch.
-  std::string batch_id_;             // Empty: no append is pending.
+  std::map<std::string, PendingClaim> pending_claims_;  // By claim id.
+  std::map<RequestHandle, std::string> claim_ids_;
+  std::vector<ClaimEnd> unsent_ends_;  // To be appended.
+  std::vector<ClaimEnd> sent_ends_;    // In the pending batch.
+  std::string batch_id_;               // Empty: no append is pending.
   TimePoint batch_sent_at_;
   std::optional<TimePoint> oldest_unwritten_;
   std::vector<RequestHandle> granted_;
--- a/membership/host_list.cc
+++ b/membership/host_list.cc
@@ -20,7 +20,7 @@
   return HostKind::kEntry;
 }
 
-HostEntry EntryFrom(const Json& json) {
+HostEntry ParseEntry(const Json& json) {
   HostEntry entry;
   entry.name = FieldOr<std::string>(json, "name", "");
   entry.kind = KindFromName(FieldOr<std::string>(json, "kind", ""));
@@ -36,7 +36,7 @@
 }
 
 // Returns the members in the order of the hash ring, the same on every host.
-std::vector<std::string> RingOf(std::vector<const HostEntry*> members) {
+std::vector<std::string> SortOnRing(std::vector<const HostEntry*> members) {
   std::vector<std::string> names;
   names.reserve(members.size());
   for (const HostEntry* member : members) names.push_back(member->name);
@@ -77,7 +77,7 @@
   const auto hosts = json.find("hosts");
   if (hosts == json.end() || !hosts->is_array()) return list;
   for (const Json& item : *hosts) {
-    HostEntry entry = EntryFrom(item);
+    HostEntry entry = ParseEntry(item);
     if (!entry.name.empty()) list.hosts.push_back(std::move(entry));
   }
   return list;
@@ -158,7 +158,7 @@
     }
   };
   const std::vector<std::string> ring =
-      RingOf(table.EntryHosts(data_centre, /*with_leaving=*/true));
+      SortOnRing(table.EntryHosts(data_centre, /*with_leaving=*/true));
   const auto own = std::find(ring.begin(), ring.end(), self);
   const size_t position = own == ring.end() ? 0 : own - ring.begin();
   if (!ring.empty()) {
@@ -176,7 +176,7 @@
   const std::string& other =
       centres[(here - centres.begin() + step) % centres.size()];
   const std::vector<std::string> far =
-      RingOf(table.EntryHosts(other, /*with_leaving=*/false));
+      SortOnRing(table.EntryHosts(other, /*with_leaving=*/false));
   if (!far.empty()) add(far[position % far.size()]);
   return peers;
 }
--- a/node/control_fold.cc
+++ b/node/control_fold.cc
@@ -3,12 +3,12 @@
 namespace applehall {
 namespace {
 
-constexpr size_t kMostRecent = 64;
-constexpr size_t kMostRecentBytes = 256 * 1024;
-constexpr size_t kMostOutcomes = 256;
+constexpr size_t kMaxRecentRecords = 64;
+constexpr size_t kMaxRecentBytes = 256 * 1024;
+constexpr size_t kMaxOutcomes = 256;
 // Records that a host without a base state buffers. Beyond this it drops them
 // and waits for a snapshot that is newer than all of them.
-constexpr size_t kMostPending = 4096;
+constexpr size_t kMaxPendingRecords = 4096;
 
 constexpr char kPublish[] = "publish";
 constexpr char kClaimGroup[] = "claim_group";
@@ -71,26 +71,26 @@
   for (const LogRecord& record : batch.records) {
     if (record.offset != next_offset_) continue;
     next_offset_ = record.offset + 1;
-    TakeRecord(record);
+    AddRecord(record);
   }
 }
 
-void ControlFold::TakeRecord(const LogRecord& record) {
+void ControlFold::AddRecord(const LogRecord& record) {
   const absl::StatusOr<Json> body = ParseJson(record.payload);
   if (!body.ok()) return;
-  Remember(record);
+  KeepRecent(record);
   const bool is_snapshot = FieldOr<std::string>(*body, "type", "") == kSnapshot;
   if (is_snapshot) last_snapshot_at_ = record.time;
   if (first_record_at_ == TimePoint{}) first_record_at_ = record.time;
   if (is_based_) {
-    Judge(record, *body);
+    ApplyRecord(record, *body);
     return;
   }
   if (is_snapshot) {
     Install(*body);
     return;
   }
-  if (pending_.size() >= kMostPending) {
+  if (pending_.size() >= kMaxPendingRecords) {
     pending_.clear();
     pending_from_ = next_offset_;
     return;
@@ -98,12 +98,12 @@
   pending_.push_back(record);
 }
 
-void ControlFold::Judge(const LogRecord& record, const Json& body) {
+void ControlFold::ApplyRecord(const LogRecord& record, const Json& body) {
   const std::string type = FieldOr<std::string>(body, "type", "");
   if (type == kPublish) {
     const RuleBook::Result result = rules_.Publish(record.offset, body);
-    RememberOutcome(FieldOr<std::string>(body, "id", ""),
-                    {result, record.offset, rules_.version()});
+    RecordOutcome(FieldOr<std::string>(body, "id", ""),
+                  {result, record.offset, rules_.version()});
   } else if (type == kClaimGroup) {
     ownership_.Claim(record.offset, record.time,
                      FieldOr<std::string>(body, "group", ""),
@@ -114,7 +114,7 @@
     ownership_.Release(record.time, FieldOr<std::string>(body, "group", ""),
                        FieldOr<uint64_t>(body, "token", 0));
   } else if (type == kServerEnd) {
-    JudgeEnd(record, body);
+    ApplyServerEnd(record, body);
   } else if (type == kContentCleared) {
     const auto fingerprint = FieldOr<uint64_t>(body, "fingerprint", 0);
     crashes_.Clear(fingerprint);
@@ -124,7 +124,7 @@
 
 // Uses the record's time only, so that all hosts reach the same result. A
 // snapshot contains the quarantined contents but not the suspected ones.
-void ControlFold::JudgeEnd(const LogRecord& record, const Json& body) {
+void ControlFold::ApplyServerEnd(const LogRecord& record, const Json& body) {
   for (const Json& content : body.value("contents", Json::array())) {
     const ServerEnd end{FieldOr<uint64_t>(content, "fingerprint", 0),
                         FieldOr<std::string>(body, "server", ""),
@@ -141,9 +141,9 @@
 }
 
 bool ControlFold::Install(const Json& snapshot) {
-  const LogOffset as_of = FieldOr<uint64_t>(snapshot, "as_of", 0);
-  const bool covers_pending = !is_based_ && as_of >= pending_from_;
-  const bool is_ahead = as_of > next_offset_;
+  const LogOffset covered_offset = FieldOr<uint64_t>(snapshot, "as_of", 0);
+  const bool covers_pending = !is_based_ && covered_offset >= pending_from_;
+  const bool is_ahead = covered_offset > next_offset_;
   // A snapshot that ends before the first buffered record leaves a gap of
   // records whose effect is unknown. A writer that was paused appends such
   // snapshots.
@@ -161,13 +161,13 @@
   std::deque<LogRecord> pending = std::move(pending_);
   pending_.clear();
   if (is_ahead) {
-    next_offset_ = as_of;
+    next_offset_ = covered_offset;
     recent_.clear();
     return true;
   }
   for (const LogRecord& record : pending) {
-    if (record.offset < as_of) continue;
-    Judge(record, *ParseJson(record.payload));
+    if (record.offset < covered_offset) continue;
+    ApplyRecord(record, *ParseJson(record.payload));
   }
   return true;
 }
@@ -195,22 +195,22 @@
   return batch;
 }
 
-void ControlFold::Remember(const LogRecord& record) {
+void ControlFold::KeepRecent(const LogRecord& record) {
   recent_.push_back(record);
   size_t bytes = 0;
   for (const LogRecord& kept : recent_) bytes += kept.payload.size();
-  while (recent_.size() > kMostRecent ||
-         (bytes > kMostRecentBytes && recent_.size() > 1)) {
+  while (recent_.size() > kMaxRecentRecords ||
+         (bytes > kMaxRecentBytes && recent_.size() > 1)) {
     bytes -= recent_.front().payload.size();
     recent_.pop_front();
   }
 }
 
-void ControlFold::RememberOutcome(const std::string& id,
-                                  const PublishOutcome& outcome) {
+void ControlFold::RecordOutcome(const std::string& id,
+                                const PublishOutcome& outcome) {
   if (!outcomes_.emplace(id, outcome).second) return;
   outcome_order_.push_back(id);
-  if (outcome_order_.size() <= kMostOutcomes) return;
+  if (outcome_order_.size() <= kMaxOutcomes) return;
   outcomes_.erase(outcome_order_.front());
   outcome_order_.pop_front();
 }
--- a/node/control_fold.h
+++ b/node/control_fold.h
@@ -81,19 +81,19 @@
   // due.
   TimePoint last_snapshot_at() const { return last_snapshot_at_; }
   TimePoint first_record_at() const { return first_record_at_; }
-  // Results of the last kMostOutcomes publications, by record id.
+  // Results of the last kMaxOutcomes publications, by record id.
   const std::map<std::string, PublishOutcome>& outcomes() const {
     return outcomes_;
   }
 
  private:
-  void Judge(const LogRecord& record, const Json& body);
-  void TakeRecord(const LogRecord& record);
-  void Remember(const LogRecord& record);
-  void RememberOutcome(const std::string& id, const PublishOutcome& outcome);
+  void ApplyRecord(const LogRecord& record, const Json& body);
+  void AddRecord(const LogRecord& record);
+  void KeepRecent(const LogRecord& record);
+  void RecordOutcome(const std::string& id, const PublishOutcome& outcome);
 
   RuleBook rules_;
-  void JudgeEnd(const LogRecord& record, const Json& body);
+  void ApplyServerEnd(const LogRecord& record, const Json& body);
 
   OwnershipTable ownership_;
   CrashLedger crashes_;
--- a/node/fleet_keeper.cc
+++ b/node/fleet_keeper.cc
@@ -15,49 +15,46 @@
 
 // Reports and plans are sent at least this often; plans are the owner's
 // heartbeat.
-constexpr Duration kBeatInterval = milliseconds(500);
-// Changes that no request of a host waits for are batched for this long: with
-// 72 hosts and tens of changes per second, sending each at once took more of
-// the owner's processor time than planning.
-constexpr Duration kPlanSpread = milliseconds(250);
-// Urgent updates do not wait for the next heartbeat; they are batched for this
-// long.
-constexpr Duration kNewsInterval = milliseconds(15);
+constexpr Duration kHeartbeatInterval = milliseconds(500);
+// Changes that no request waits for are batched for this long: with 72 hosts
+// and tens of changes a second, sending each at once cost more time than
+// planning.
+constexpr Duration kBatchInterval = milliseconds(250);
+// Urgent updates do not wait for a heartbeat but are batched for this long.
+constexpr Duration kUrgentInterval = milliseconds(15);
 // A plan older than this no longer takes precedence over the listing.
-constexpr Duration kPlanLife = seconds(3);
-constexpr Duration kPeerLife = seconds(5);
-// One more plan is sent per tick of 25 ms for each such number of data centres,
-// so that all are reached within the batch interval.
-constexpr size_t kCentresATick = 8;
+constexpr Duration kPlanTtl = seconds(3);
+constexpr Duration kPeerTtl = seconds(5);
+// Data centres beyond this many share a tick of 25 ms, so that all are reached
+// within the batch interval.
+constexpr size_t kCentresPerTick = 8;
 // Engines with fewer requests per slot than this, and fewer arrivals per slot
 // and second, are reported as idle; a request occupies a slot for 1 to 4 s.
-constexpr double kToldLoad = 0.5;
-constexpr double kToldArrivals = 0.2;
-// Minimum time between sums of the loads. Reports of 72 hosts arrive every
-// 7 ms; summing more often changes little.
-constexpr Duration kLoadInterval = milliseconds(100);
+constexpr double kMinReportedLoad = 0.5;
+constexpr double kMinReportedArrivals = 0.2;
+// Reports of 72 hosts arrive every 7 ms; summing more often changes little.
+constexpr Duration kLoadSumInterval = milliseconds(100);
 // The owner of many hosts is the busiest of all. When it also read the store
 // for the 45 hosts of its own data centre, a burst of planning delayed their
 // updates by 5 s, and draining engines still received work after 4.2 s.
-constexpr int kMostOwnFollowers = 8;
+constexpr int kMaxOwnFollowers = 8;
 constexpr Duration kPlanInterval = milliseconds(25);
 // Key of the teams' quotas in reports and plans.
 constexpr char kQuotaRows[] = "quotas";
 // Key of the limits of servers that limit themselves.
 constexpr char kLimitRows[] = "limits";
 // Reports: servers that ended. Plans: the last such row the owner has received.
-constexpr char kServerEnds[] = "ends";
-// Time after an outage of the store within which live servers, whose listings
-// lapsed during it, are listed again.
-constexpr Duration kRelisting = milliseconds(2200);
+constexpr char kEndRows[] = "ends";
+// Listings that lapsed in an outage of the store are renewed this soon after.
+constexpr Duration kRelistTime = milliseconds(2200);
 
 // Leaves `address` unchanged if the body has no valid address under `key`.
 void ReadPeerAddress(const Json& body, const char* key, PeerAddress& address) {
-  const Json told = body.value(key, Json::array());
-  const bool is_address = told.is_array() && told.size() == 2 &&
-                          told[0].is_string() && told[1].is_string();
+  const Json row = body.value(key, Json::array());
+  const bool is_address = row.is_array() && row.size() == 2 &&
+                          row[0].is_string() && row[1].is_string();
   if (!is_address) return;
-  address = {told[0].get<std::string>(), told[1].get<std::string>()};
+  address = {row[0].get<std::string>(), row[1].get<std::string>()};
 }
 
 }  // namespace
@@ -71,7 +68,7 @@
 // ---- Listing ----
 
 void FleetKeeper::TakeServers(const ServersListed& event) {
-  if (servers_.empty() && !event.listed.empty()) lease_.NoteListed();
+  if (servers_.empty() && !event.listed.empty()) lease_.RecordFirstListing();
   std::vector<std::string> gone = event.gone;
   if (event.is_whole) {
     std::set<std::string> listed;
@@ -82,10 +79,10 @@
   }
   for (const std::string& id : event.unusable) {
     context_.metrics.Count("server_entries_unusable_total");
-    if (servers_.contains(id)) Forget(id);
+    if (servers_.contains(id)) RemoveServer(id);
   }
   for (const ListedServer& server : event.listed) {
-    if (!IsLaterLife(server)) continue;
+    if (!AcceptIncarnation(server)) continue;
     const bool is_new = !servers_.contains(server.id);
     const bool was_leaving = !is_new && servers_[server.id].is_leaving;
     servers_[server.id] = server;
@@ -99,22 +96,21 @@
           .With("leaving", server.is_leaving ? "yes" : "no")
           .With("models", server.models.size());
     }
-    if (!lease_.HeardWithin(kPlanLife) && !planner_) {
+    if (!lease_.HadContactWithin(kPlanTtl) && !planner_) {
       announced_.erase(server.id);
     }
-    Apply(server.id);
+    UpdateView(server.id);
   }
-  // While the store is unavailable, listings of live servers lapse too, and are
-  // renewed soon after it. Removing the servers would refuse requests
-  // needlessly until then.
-  const bool was_away =
-      context_.IsLogDown() || context_.now - context_.log_back_at < kRelisting;
+  // While the store is unavailable, listings of live servers lapse too.
+  // Removing the servers would refuse requests until the listings are renewed.
+  const bool was_unavailable =
+      context_.IsLogDown() || context_.now - context_.log_back_at < kRelistTime;
   for (const std::string& id : gone) {
     if (!servers_.contains(id)) continue;
-    if (was_away) {
+    if (was_unavailable) {
       departing_.insert(id);
     } else {
-      Forget(id);
+      RemoveServer(id);
     }
   }
   if (planner_) planner_->SetServers(servers_, context_.now);
@@ -123,44 +119,44 @@
 // A server that restarted under its id holds no models and runs no requests.
 // Its previous state is removed first, or the request counts, failures and
 // models of its earlier incarnation would be taken for those of the new one.
-bool FleetKeeper::IsLaterLife(const ListedServer& server) {
+bool FleetKeeper::AcceptIncarnation(const ListedServer& server) {
   const auto known = servers_.find(server.id);
   if (known == servers_.end()) return true;
-  const TimePoint before = known->second.started_at;
-  if (StartedAfter(before, server.started_at)) return false;
-  if (!StartedAfter(server.started_at, before)) return true;
+  const TimePoint previous_start = known->second.started_at;
+  if (StartedAfter(previous_start, server.started_at)) return false;
+  if (!StartedAfter(server.started_at, previous_start)) return true;
   LogEvent(LogLevel::kInfo, "server_restarted")
       .With("server", server.id)
-      .With("after_ms", ToMillis(server.started_at - before));
-  Forget(server.id);
+      .With("after_ms", ToMillis(server.started_at - previous_start));
+  RemoveServer(server.id);
   return true;
 }
 
-void FleetKeeper::DropDeparted() {
-  // The grace period starts when the store is available again, not when a
-  // listing lapses: a server that leaves within two seconds after an outage
-  // must be removed as fast as at any other time.
+void FleetKeeper::RemoveDeparted() {
+  // Counted from the end of the outage, not from the lapse: a server that
+  // leaves in the two seconds after it must be removed as fast as at any other
+  // time.
   if (departing_.empty() || context_.IsLogDown() ||
-      context_.now - context_.log_back_at < kRelisting) {
+      context_.now - context_.log_back_at < kRelistTime) {
     return;
   }
   const std::set<std::string> due = std::move(departing_);
   departing_.clear();
-  for (const std::string& id : due) Forget(id);
+  for (const std::string& id : due) RemoveServer(id);
   if (planner_) planner_->SetServers(servers_, context_.now);
 }
 
-void FleetKeeper::Forget(const std::string& id) {
+void FleetKeeper::RemoveServer(const std::string& id) {
   servers_.erase(id);
   departing_.erase(id);
   announced_.erase(id);
-  applied_.erase(id);
+  planned_states_.erase(id);
   context_.view.Forget(id);
   limits_.Forget(id);
   LogEvent(LogLevel::kInfo, "server_gone").With("server", id);
 }
 
-void FleetKeeper::Apply(const std::string& id) {
+void FleetKeeper::UpdateView(const std::string& id) {
   const auto it = servers_.find(id);
   if (it == servers_.end()) return;
   const ListedServer& server = it->second;
@@ -203,20 +199,20 @@
   if (!planner_) return;
   planner_->TakeOrderResult(event.engine, event.order_id, event.result,
                             context_.now);
-  if (planner_->is_superseded()) lease_.Doubt();
+  if (planner_->is_superseded()) lease_.RequireReread();
 }
 
 // ---- Lease ----
 
 void FleetKeeper::TakeLease(const LeaseRead& event) {
-  const PlacementLease::Change change = lease_.TakeRead(event);
+  const PlacementLease::Change change = lease_.HandleRead(event);
   if (change == PlacementLease::Change::kNone) return;
   StopPlanning();
   if (change == PlacementLease::Change::kGained) StartPlanning();
 }
 
 void FleetKeeper::TakeAppendEnd(const LeaseAppendEnded&) {
-  lease_.TakeAppendEnd();
+  lease_.HandleAppendEnded();
 }
 
 void FleetKeeper::StartPlanning() {
@@ -224,22 +220,22 @@
       context_.settings.self, lease_.token(), context_.settings.policies);
   planner_->SetCatalogue(&context_.catalogue, &context_.engine_classes);
   planner_->SetServers(servers_, context_.now);
-  applied_.clear();
-  told_.clear();
-  quarantine_.RestartRows(last_news_);
+  planned_states_.clear();
+  shared_plans_.clear();
+  quarantine_.RestartRows(last_update_);
   quotas_.StartPlanning();
-  limits_.StartPlanning(last_news_);
+  limits_.StartPlanning(last_update_);
   readers_.Restart(context_.now);
   reader_ = {};  // The owner reads the store itself.
   backup_reader_ = {};
   context_.metrics.Count("leases_taken_total");
-  if (resigned_.host.empty()) return;
+  if (resigned_owner_.host.empty()) return;
   // The former owner may be unable to read the lease; the first plan gives it
   // the address to report to.
-  FleetPeer& before = peers_[resigned_.host];
-  before.address = resigned_.address;
-  before.heard_at = context_.now;
-  resigned_ = {};
+  FleetPeer& former = peers_[resigned_owner_.host];
+  former.address = resigned_owner_.address;
+  former.heard_at = context_.now;
+  resigned_owner_ = {};
 }
 
 void FleetKeeper::StopPlanning() {
@@ -251,7 +247,7 @@
 
 bool FleetKeeper::IsHandingOver() const {
   const bool may_give_up = context_.settings.policies.Has(Policy::kHandOver);
-  if (!may_give_up || !lease_.IsUnproven()) return false;
+  if (!may_give_up || !lease_.IsUnconfirmed()) return false;
   return std::any_of(peers_.begin(), peers_.end(), [this](const auto& item) {
     return item.second.can_read_store &&
            context_.now - item.second.heard_at <= kReaderSilence;
@@ -263,25 +259,24 @@
 void FleetKeeper::HandOver() {
   if (!planner_ || !planner_->IsQuiet()) return;
   if (context_.is_draining) {
-    SayResigned();
+    AnnounceResignation();
     lease_.Release();
     StopPlanning();
     return;
   }
-  // An owner that is partitioned only from the store may send no orders, but
-  // its heartbeats keep others from claiming the lease: no model would be
-  // loaded until the partition ends (8 s in one case). Announcing the
-  // resignation also spares the next owner the wait for orders in flight.
+  // An owner partitioned only from the store may send no orders, but its
+  // heartbeats keep others from claiming: no model was loaded while the
+  // partition lasted (8 s). The announcement spares the next owner the order
+  // lease.
   if (!IsHandingOver()) return;
-  SayResigned();
+  AnnounceResignation();
   lease_.Resign();
   StopPlanning();
 }
 
-// Without this message other hosts would detect a released lease only after
-// missing heartbeats for 1.3 s, and each planned restart of the owner would
-// delay loads for that long.
-void FleetKeeper::SayResigned() {
+// Without this message, other hosts would detect a released lease only after
+// 1.3 s without heartbeats, which delays loads at each restart of the owner.
+void FleetKeeper::AnnounceResignation() {
   const Json body{{"k", lease_.token()},
                   {"x", true},
                   {"p", context_.settings.peer_address}};
@@ -300,13 +295,13 @@
 }
 
 void FleetKeeper::SetWaiting(const Demand& demand) {
-  waiting_[demand.target] = demand;
+  demands_[demand.target] = demand;
 }
 
 HostReport FleetKeeper::MakeReport() {
   HostReport report;
   report.host = context_.settings.self.host;
-  for (const auto& [target, demand] : waiting_) {
+  for (const auto& [target, demand] : demands_) {
     report.waiting.push_back(
         {target, demand.waiting, demand.worth, demand.slack});
   }
@@ -318,26 +313,26 @@
   }
   arrivals_.clear();
   reported_at_ = context_.now;
-  reported_waiting_.clear();
-  for (const auto& [target, demand] : waiting_) {
-    reported_waiting_.insert(target);
+  reported_targets_.clear();
+  for (const auto& [target, demand] : demands_) {
+    reported_targets_.insert(target);
   }
   return report;
 }
 
-bool FleetKeeper::HasNewWaiting() const {
-  return std::any_of(waiting_.begin(), waiting_.end(),
+bool FleetKeeper::HasNewDemand() const {
+  return std::any_of(demands_.begin(), demands_.end(),
                      [this](const auto& item) {
-                       return !reported_waiting_.contains(item.first);
+                       return !reported_targets_.contains(item.first);
                      });
 }
 
 void FleetKeeper::ReportToOwner() {
   const PeerAddress owner = lease_.Owner();
   if (owner.host.empty()) return;
-  const bool has_news =
-      HasNewWaiting() || quarantine_.HasNewRows() || limits_.HasNewRows();
-  const Duration interval = has_news ? kNewsInterval : kBeatInterval;
+  const bool has_updates =
+      HasNewDemand() || quarantine_.HasNewRows() || limits_.HasNewRows();
+  const Duration interval = has_updates ? kUrgentInterval : kHeartbeatInterval;
   if (context_.now - reported_at_ < interval) return;
   Json body = MakeReport().ToJson();
   body["p"] = context_.settings.peer_address;
@@ -347,12 +342,12 @@
   if (link > 0 && link < kReaderLink) body["b"] = link;
   body["s"] = CanReadStore();
   Json ends = quarantine_.TakeReportRows(lease_.NewestOwner().token);
-  if (!ends.is_null()) body[kServerEnds] = std::move(ends);
+  if (!ends.is_null()) body[kEndRows] = std::move(ends);
   Json usage = quotas_.ReportRows();
   if (!usage.empty()) body[kQuotaRows] = std::move(usage);
   Json limits = limits_.ReportRows(lease_.NewestOwner().token, servers_);
   if (!limits.empty()) body[kLimitRows] = std::move(limits);
-  if (has_missed_news_) body["m"] = Json::array({news_token_, known_news_});
+  if (has_update_gap_) body["m"] = Json::array({update_token_, known_update_});
   context_.Emit(SendPeer{owner.host,
                          owner.address,
                          {PeerMessageType::kFleetReport, std::move(body)}});
@@ -373,8 +368,8 @@
     peer.sent_news = std::min(peer.sent_news, missed[1].get<uint64_t>());
     peer.is_urgent = true;
   }
-  if (body.contains(kServerEnds)) {
-    quarantine_.TakeReport(host, body[kServerEnds]);
+  if (body.contains(kEndRows)) {
+    quarantine_.TakeReport(host, body[kEndRows]);
     peer.is_urgent = true;  // The host retransmits the rows until acknowledged.
   }
   if (body.contains(kQuotaRows)) {
@@ -394,7 +389,7 @@
   peer.waiting = std::move(waiting);
   peer.is_urgent = peer.is_urgent || is_new;
   planner_->TakeReport(report, context_.now);
-  if (is_new && context_.now - planned_at_ >= kNewsInterval) {
+  if (is_new && context_.now - planned_at_ >= kUrgentInterval) {
     planned_at_ = context_.now;
     Plan();
   }
@@ -405,27 +400,27 @@
   planner_->SetLimits(limits_.Limits());
   planner_->Decide(lease_.MayOrder() && !IsHandingOver(), context_.now, orders);
   for (OrderToSend& order : orders) {
-    order.order.arrive_by = lease_.OrdersArriveBy();
+    order.order.arrive_by = lease_.OrderArrivalDeadline();
     std::string service = servers_[order.engine].service;
     context_.Emit(SendOrder{std::move(order.engine), std::move(order.address),
                             std::move(order.order), std::move(service)});
   }
   LogNotes();
-  quarantine_.NumberRows(last_news_);
-  limits_.NumberRows(last_news_);
+  quarantine_.NumberRows(last_update_);
+  limits_.NumberRows(last_update_);
   for (const auto& [id, server] : servers_) {
     const uint64_t version = planner_->VersionOf(id);
-    Applied& applied = applied_[id];
-    if (version == 0 || applied.version == version) continue;
-    applied.version = version;
+    PlannedState& planned = planned_states_[id];
+    if (version == 0 || planned.version == version) continue;
+    planned.version = version;
     std::vector<std::string> ready = planner_->ReadyOn(id);
     std::vector<std::string>& announced = announced_[id];
-    const bool is_told = applied.news != 0 && announced == ready;
-    // Sent again if hosts report, as one may wait for a target that it should
-    // already know to be ready.
-    if (!is_told || !peers_.empty()) applied.news = ++last_news_;
-    if (is_told) {
-      Apply(id);
+    const bool is_announced = planned.update != 0 && announced == ready;
+    // Sent again if hosts report: one may still wait for a target that is
+    // ready.
+    if (!is_announced || !peers_.empty()) planned.update = ++last_update_;
+    if (is_announced) {
+      UpdateView(id);
       continue;
     }
     for (const std::string& name : ready) {
@@ -438,7 +433,7 @@
       }
     }
     announced = std::move(ready);
-    Apply(id);
+    UpdateView(id);
   }
 }
 
@@ -457,17 +452,17 @@
 }
 
 void FleetKeeper::SendPlans() {
-  if (context_.now - loads_at_ >= kLoadInterval) {
-    TakeLoads(SumLoads());
+  if (context_.now - loads_at_ >= kLoadSumInterval) {
+    ApplyLoads(SumLoads());
   }
   std::erase_if(peers_, [this](const auto& item) {
-    return context_.now - item.second.heard_at > kPeerLife;
+    return context_.now - item.second.heard_at > kPeerTtl;
   });
   context_.fleet_hosts = static_cast<int>(peers_.size()) + 1;
   for (auto& [host, peer] : peers_) {
     const bool is_urgent = peer.is_urgent || !peer.has_plan;
     if (!is_urgent && peer.waiting.empty()) continue;
-    const Duration interval = is_urgent ? kNewsInterval : kPlanSpread;
+    const Duration interval = is_urgent ? kUrgentInterval : kBatchInterval;
     if (context_.now - peer.sent_at >= interval) SendPlan(host, peer);
   }
   SendSharedPlans();
@@ -480,38 +475,40 @@
 void FleetKeeper::SendSharedPlans() {
   std::set<std::string> centres;
   for (const auto& [host, peer] : peers_) centres.insert(peer.data_centre);
-  std::erase_if(
-      told_, [&](const auto& item) { return !centres.contains(item.first); });
-  size_t turns = 1 + centres.size() / kCentresATick;
-  auto next = centres.upper_bound(last_told_);
+  std::erase_if(shared_plans_, [&](const auto& item) {
+    return !centres.contains(item.first);
+  });
+  size_t turns = 1 + centres.size() / kCentresPerTick;
+  auto next = centres.upper_bound(last_shared_centre_);
   for (size_t i = 0; i < centres.size() && turns > 0; ++i) {
     if (next == centres.end()) next = centres.begin();
     const std::string& centre = *next++;
-    SharedPlanState& told = told_[centre];
-    const bool has_news = told.news < last_news_ || quotas_.IsThrottling();
-    const Duration interval = has_news ? kPlanSpread : kBeatInterval;
-    if (context_.now - told.at < interval) continue;
-    SendSharedPlan(centre, told);
-    last_told_ = centre;
+    SharedPlanState& state = shared_plans_[centre];
+    const bool has_updates =
+        state.update < last_update_ || quotas_.IsThrottling();
+    const Duration interval = has_updates ? kBatchInterval : kHeartbeatInterval;
+    if (context_.now - state.sent_at < interval) continue;
+    SendSharedPlan(centre, state);
+    last_shared_centre_ = centre;
     --turns;
   }
 }
 
 void FleetKeeper::SendSharedPlan(const std::string& data_centre,
-                                 SharedPlanState& told) {
+                                 SharedPlanState& state) {
   SendPeers action;
   for (auto& [host, peer] : peers_) {
     if (peer.data_centre != data_centre || !peer.has_plan) continue;
     action.peers.push_back({host, peer.address});
-    peer.sent_news = last_news_;
+    peer.sent_news = last_update_;
   }
   action.message.type = PeerMessageType::kFleetPlan;
-  action.message.body = PlanBody(data_centre, told.news);
+  action.message.body = PlanBody(data_centre, state.update);
   action.message.body["l"] = LoadsToJson(loads_);
-  const PeerAddress backup =
-      readers_.Backup(data_centre, ReaderOf(data_centre).host, context_.now);
+  const PeerAddress backup = readers_.Backup(
+      data_centre, ChooseReader(data_centre).host, context_.now);
   action.message.body["b"] = Json::array({backup.host, backup.address});
-  told = {context_.now, last_news_};
+  state = {context_.now, last_update_};
   if (!action.peers.empty()) context_.Emit(std::move(action));
 }
 
@@ -520,23 +517,23 @@
          context_.now - context_.news.AsOf() <= context_.settings.news.trust;
 }
 
-// Sums the load of each engine over all hosts. A host with a request or two at
-// an engine cannot see that all hosts together have sent several times what the
-// engine can run.
+// Sums the load of each engine over all hosts: a host with a request or two
+// there cannot see that all hosts together have sent several times its
+// capacity.
 EngineLoads FleetKeeper::SumLoads() const {
   EngineLoads busy;
   for (const auto& [id, server] : servers_) {
     const EngineLoad load{planner_->RequestsAt(id),
                           planner_->ArrivalsAt(id, context_.now)};
-    if (load.running >= kToldLoad * server.slots ||
-        load.arrivals >= kToldArrivals * server.slots) {
+    if (load.running >= kMinReportedLoad * server.slots ||
+        load.arrivals >= kMinReportedArrivals * server.slots) {
       busy[id] = load;
     }
   }
   return busy;
 }
 
-void FleetKeeper::TakeLoads(EngineLoads loads) {
+void FleetKeeper::ApplyLoads(EngineLoads loads) {
   for (const auto& [id, load] : loads) {
     context_.view.SetLoad(id, load.running, load.arrivals);
   }
@@ -547,7 +544,7 @@
   loads_at_ = context_.now;
 }
 
-int FleetKeeper::PeersIn(const std::string& data_centre) const {
+int FleetKeeper::CountPeersIn(const std::string& data_centre) const {
   return static_cast<int>(
       std::count_if(peers_.begin(), peers_.end(), [&](const auto& item) {
         return item.second.data_centre == data_centre;
@@ -555,36 +552,33 @@
 }
 
 // Returns the host that reads the store for `data_centre`: the owner for its
-// own data centre if that is small, as it reads for itself anyway; otherwise
-// the live host with the largest processor share.
-PeerAddress FleetKeeper::ReaderOf(const std::string& data_centre) {
+// own if that is small, as it reads anyway; else the best live host
+// (ReaderChoice).
+PeerAddress FleetKeeper::ChooseReader(const std::string& data_centre) {
   if (!context_.settings.policies.Has(Policy::kStoreRelay)) return {};
   const bool is_own = data_centre == context_.settings.data_centre;
   const bool is_settled = readers_.IsSettled(context_.now);
   if (is_own && is_settled && CanReadStore() &&
       IsWideLink(context_.settings.link_mbps) &&
-      PeersIn(data_centre) <= kMostOwnFollowers) {
+      CountPeersIn(data_centre) <= kMaxOwnFollowers) {
     return {context_.settings.self.host, context_.settings.peer_address};
   }
   return readers_.Reader(data_centre, context_.now);
 }
 
 Json FleetKeeper::PlanBody(const std::string& data_centre, uint64_t since) {
-  Json body{{"k", lease_.token()},
-            {"p", context_.settings.peer_address},
-            {"e", Json::array()},
-            {"w", Json::array()},
-            {"n", context_.fleet_hosts},
-            {"f", since},
-            {"u", last_news_}};
+  Json body{{"k", lease_.token()},       {"p", context_.settings.peer_address},
+            {"e", Json::array()},        {"w", Json::array()},
+            {"n", context_.fleet_hosts}, {"f", since},
+            {"u", last_update_}};
   // A new owner assigns no reader before it has reports from the fleet, unless
   // the candidate's link is wide. Without this field hosts keep their reader.
-  const PeerAddress reader = ReaderOf(data_centre);
+  const PeerAddress reader = ChooseReader(data_centre);
   if (readers_.IsSettled(context_.now) || readers_.HasWideLink(reader.host)) {
     body["r"] = Json::array({reader.host, reader.address});
   }
-  for (const auto& [id, applied] : applied_) {
-    if (applied.news <= since) continue;
+  for (const auto& [id, planned] : planned_states_) {
+    if (planned.update <= since) continue;
     body["e"].push_back(Json::array({id, announced_[id]}));
   }
   Json quarantine = quarantine_.PlanRows(since);
@@ -602,7 +596,7 @@
   peer.has_plan = true;
   peer.sent_at = context_.now;
   peer.is_urgent = false;
-  peer.sent_news = last_news_;
+  peer.sent_news = last_update_;
   for (const std::string& target : peer.waiting) {
     const DemandAnswer answer = planner_->Answer(target, context_.now);
     body["w"].push_back(Json::array({target, static_cast<int>(answer.status),
@@ -610,7 +604,7 @@
                                      static_cast<int>(answer.put_off)}));
   }
   Json ack = quarantine_.TakeAckFor(host);
-  if (!ack.is_null()) body[kServerEnds] = std::move(ack);
+  if (!ack.is_null()) body[kEndRows] = std::move(ack);
   context_.Emit(SendPeer{
       host, peer.address, {PeerMessageType::kFleetPlan, std::move(body)}});
 }
@@ -621,18 +615,18 @@
   const FencingToken token = FieldOr<uint64_t>(body, "k", 0);
   if (planner_ || token < lease_.token()) return answers;
   if (FieldOr<bool>(body, "x", false)) {
-    lease_.TakeResignation(token);
-    resigned_ = {host, FieldOr<std::string>(body, "p", "")};
+    lease_.HandleResignation(token);
+    resigned_owner_ = {host, FieldOr<std::string>(body, "p", "")};
     return answers;
   }
-  lease_.NoteSignOfLife({host, FieldOr<std::string>(body, "p", "")}, token);
-  if (body.contains("l")) TakeLoads(LoadsFromJson(body["l"]));
+  lease_.RecordHeartbeat({host, FieldOr<std::string>(body, "p", "")}, token);
+  if (body.contains("l")) ApplyLoads(LoadsFromJson(body["l"]));
   context_.fleet_hosts = std::max(1, FieldOr<int>(body, "n", 1));
   ReadPeerAddress(body, "r", reader_);
   ReadPeerAddress(body, "b", backup_reader_);
-  TakeNews(body, token);
+  ApplyUpdates(body, token);
   if (body.contains("q")) quarantine_.TakePlan(body["q"]);
-  if (body.contains(kServerEnds)) quarantine_.TakeAck(token, body[kServerEnds]);
+  if (body.contains(kEndRows)) quarantine_.TakeAck(token, body[kEndRows]);
   if (body.contains(kQuotaRows)) quotas_.TakePlan(body[kQuotaRows]);
   if (body.contains(kLimitRows)) {
     limits_.TakePlan(body[kLimitRows], token, servers_);
@@ -647,10 +641,10 @@
     if (status < 0 || status > static_cast<int>(DemandStatus::kUnknown)) {
       continue;
     }
-    const int told =
+    const int reason =
         row.size() > 3 && row[3].is_number_integer() ? row[3].get<int>() : 0;
     const int put_off =
-        std::clamp(told, 0, static_cast<int>(PutOff::kEngineBusy));
+        std::clamp(reason, 0, static_cast<int>(PutOff::kEngineBusy));
     answers.push_back(
         {row[0].get<std::string>(), "", static_cast<DemandStatus>(status),
          milliseconds(row[2].get<int64_t>()), static_cast<PutOff>(put_off)});
@@ -662,15 +656,15 @@
 // an engine would otherwise be missing here until the engine changes again.
 // Each plan names the update that it starts after; the next report tells the
 // owner about a gap, and the owner sends the missing updates again.
-void FleetKeeper::TakeNews(const Json& body, FencingToken token) {
-  if (token != news_token_) {
-    news_token_ = token;
-    known_news_ = 0;
+void FleetKeeper::ApplyUpdates(const Json& body, FencingToken token) {
+  if (token != update_token_) {
+    update_token_ = token;
+    known_update_ = 0;
   }
   const auto from = FieldOr<uint64_t>(body, "f", 0);
-  has_missed_news_ = from > known_news_;
-  if (!has_missed_news_) {
-    known_news_ = std::max(known_news_, FieldOr<uint64_t>(body, "u", 0));
+  has_update_gap_ = from > known_update_;
+  if (!has_update_gap_) {
+    known_update_ = std::max(known_update_, FieldOr<uint64_t>(body, "u", 0));
   }
   for (const Json& row : body.value("e", Json::array())) {
     if (!row.is_array() || row.size() != 2 || !row[0].is_string() ||
@@ -683,40 +677,39 @@
     }
     const std::string id = row[0].get<std::string>();
     announced_[id] = std::move(ready);
-    Apply(id);
+    UpdateView(id);
   }
 }
 
 std::vector<DemandAnswer> FleetKeeper::RunTick() {
   std::vector<DemandAnswer> answers;
-  lease_.WatchClock();
-  DropDeparted();
+  lease_.DetectPause();
+  RemoveDeparted();
   HandOver();
-  lease_.Drive(/*can_place=*/!servers_.empty());
-  quarantine_.RunTick(planner_ != nullptr, lease_.HeardWithin(kPlanLife));
+  lease_.ReadOrClaim(/*can_place=*/!servers_.empty());
+  quarantine_.RunTick(planner_ != nullptr, lease_.HadContactWithin(kPlanTtl));
   quotas_.RunTick(reader_);
   limits_.RunTick(lease_.Owner(), lease_.NewestOwner().token,
-                  lease_.HeardWithin(kOwnerTrust));
+                  lease_.HadContactWithin(kOwnerTrust));
   if (planner_) {
-    const bool has_news = HasNewWaiting();
-    if (has_news || context_.now - reported_at_ >= kBeatInterval) {
+    const bool has_updates = HasNewDemand();
+    if (has_updates || context_.now - reported_at_ >= kHeartbeatInterval) {
       planner_->TakeReport(MakeReport(), context_.now);
     }
-    if (has_news || context_.now - planned_at_ >= kPlanInterval) {
+    if (has_updates || context_.now - planned_at_ >= kPlanInterval) {
       planned_at_ = context_.now;
       Plan();
     }
-    for (const auto& [target, demand] : waiting_) {
+    for (const auto& [target, demand] : demands_) {
       answers.push_back(planner_->Answer(target, context_.now));
     }
     SendPlans();
   } else {
     ReportToOwner();
-    // Without contact to the owner, the host would keep refusing requests
-    // because of stale loads.
-    if (context_.now - loads_at_ > kPlanLife) TakeLoads({});
+    // Without contact to the owner, stale loads would keep causing refusals.
+    if (context_.now - loads_at_ > kPlanTtl) ApplyLoads({});
   }
-  waiting_.clear();
+  demands_.clear();
   return answers;
 }
 
--- a/node/fleet_keeper.h
+++ b/node/fleet_keeper.h
@@ -82,14 +82,14 @@
   // When the shared plan was last sent to a data centre, and the last update it
   // contained.
   struct SharedPlanState {
-    TimePoint at;
-    uint64_t news = 0;
+    TimePoint sent_at;
+    uint64_t update = 0;
   };
 
   void StartPlanning();
   void StopPlanning();
   void HandOver();
-  void SayResigned();
+  void AnnounceResignation();
   // Whether the lease is unconfirmed here while another host can read the
   // store.
   bool IsHandingOver() const;
@@ -102,28 +102,28 @@
   void SendPlan(const std::string& host, FleetPeer& peer);
   // Sends the part of the plan that all hosts of a data centre share.
   void SendSharedPlans();
-  void SendSharedPlan(const std::string& data_centre, SharedPlanState& told);
+  void SendSharedPlan(const std::string& data_centre, SharedPlanState& state);
   // Returns the fields common to all plans, with the engines' updates after
   // `since`. One-letter keys, as in reports: k token, p address, e engines,
   // w answers, r reader, n hosts, f and u first and last update, q quarantined
   // contents, s limits of servers; in some plans b backup reader and l loads.
   Json PlanBody(const std::string& data_centre, uint64_t since);
-  void TakeNews(const Json& body, FencingToken token);
+  void ApplyUpdates(const Json& body, FencingToken token);
   bool CanReadStore() const;
-  int PeersIn(const std::string& data_centre) const;
-  PeerAddress ReaderOf(const std::string& data_centre);
+  int CountPeersIn(const std::string& data_centre) const;
+  PeerAddress ChooseReader(const std::string& data_centre);
   // True if there is demand for a target that the last report did not contain.
-  bool HasNewWaiting() const;
+  bool HasNewDemand() const;
   HostReport MakeReport();
   EngineLoads SumLoads() const;
-  void TakeLoads(EngineLoads loads);
+  void ApplyLoads(EngineLoads loads);
   // Updates the routing view with the targets that a server can serve.
-  void Apply(const std::string& id);
-  void Forget(const std::string& id);
-  void DropDeparted();
+  void UpdateView(const std::string& id);
+  void RemoveServer(const std::string& id);
+  void RemoveDeparted();
   // Removes the state of a server's earlier incarnation; false if `server` is
   // of an earlier incarnation itself.
-  bool IsLaterLife(const ListedServer& server);
+  bool AcceptIncarnation(const ListedServer& server);
 
   NodeContext& context_;
   QuarantineKeeper& quarantine_;
@@ -135,14 +135,14 @@
   std::set<std::string> departing_;
   // Ready targets by engine, as announced by the owner.
   std::map<std::string, std::vector<std::string>> announced_;
-  // Last state of an engine from this host's planner. `news` numbers the
+  // Last state of an engine from this host's planner. `update` numbers the
   // changes of all engines, so that a host receives only those it has not seen.
-  struct Applied {
+  struct PlannedState {
     uint64_t version = 0;
-    uint64_t news = 0;
+    uint64_t update = 0;
   };
-  std::map<std::string, Applied> applied_;
-  uint64_t last_news_ = 0;
+  std::map<std::string, PlannedState> planned_states_;
+  uint64_t last_update_ = 0;
   EngineLoads loads_;
   TimePoint loads_at_;  // When they were received or summed.
   uint64_t digest_count_ = 0;
@@ -151,22 +151,23 @@
   std::unique_ptr<FleetPlanner> planner_;
   FleetPeers peers_;
   ReaderChoice readers_{peers_};
-  std::map<std::string, SharedPlanState> told_;  // By data centre.
-  std::string last_told_;  // Data centre of the last shared plan; they rotate.
+  std::map<std::string, SharedPlanState> shared_plans_;  // By data centre.
+  std::string
+      last_shared_centre_;  // Data centre of the last shared plan; they rotate.
 
   // Token of the owner whose updates on engines were received, the last of
   // them, and whether earlier ones were missed.
-  FencingToken news_token_ = 0;
-  uint64_t known_news_ = 0;
-  bool has_missed_news_ = false;
+  FencingToken update_token_ = 0;
+  uint64_t known_update_ = 0;
+  bool has_update_gap_ = false;
 
-  PeerAddress reader_;         // For this data centre.
-  PeerAddress backup_reader_;  // For this data centre.
-  PeerAddress resigned_;       // The last owner that resigned.
+  PeerAddress reader_;          // For this data centre.
+  PeerAddress backup_reader_;   // For this data centre.
+  PeerAddress resigned_owner_;  // The last owner that resigned.
   // This host's own demand, by target.
-  std::map<std::string, Demand> waiting_;
+  std::map<std::string, Demand> demands_;
   std::map<std::string, std::pair<int, double>> arrivals_;
-  std::set<std::string> reported_waiting_;
+  std::set<std::string> reported_targets_;
   TimePoint reported_at_;
   TimePoint planned_at_;
 };
--- a/node/gossip.cc
+++ b/node/gossip.cc
@@ -10,12 +10,12 @@
 constexpr size_t kControlReaders = 2;
 // A control state that no peer has confirmed for this long is read from the
 // log.
-constexpr Duration kConfirmedWithin = std::chrono::seconds(2);
+constexpr Duration kMaxConfirmationAge = std::chrono::seconds(2);
 constexpr Duration kSummaryInterval = std::chrono::seconds(1);
 constexpr Duration kSummaryRefresh = std::chrono::seconds(10);
-constexpr Duration kSummaryLife = std::chrono::seconds(30);
+constexpr Duration kSummaryTtl = std::chrono::seconds(30);
 constexpr Duration kSnapshotInterval = std::chrono::seconds(1);
-constexpr size_t kMostDigestsInMessage = 512;
+constexpr size_t kMaxDigestsPerMessage = 512;
 
 }  // namespace
 
@@ -52,7 +52,8 @@
 
 bool Gossip::IsControlReader() const {
   if (!context_.hosts.is_known()) return true;
-  if (context_.now - context_.log_answered_at > kConfirmedWithin) return true;
+  if (context_.now - context_.log_answered_at > kMaxConfirmationAge)
+    return true;
   if (chosen_version_ == context_.hosts.version()) return is_chosen_reader_;
   chosen_version_ = context_.hosts.version();
   std::vector<std::pair<uint64_t, std::string>> ranked;
@@ -70,7 +71,7 @@
   return is_chosen_reader_;
 }
 
-void Gossip::MakeOwnSummary() {
+void Gossip::UpdateOwnSummary() {
   if (!IsControlReader()) return;
   if (context_.now - summary_made_at_ < kSummaryInterval) return;
   summary_made_at_ = context_.now;
@@ -85,7 +86,7 @@
 
 // True if a model became ready or the control state changed. Callers wait for
 // these, so they are sent before the next regular round.
-bool Gossip::HasUrgentNews() const {
+bool Gossip::HasUrgentUpdates() const {
   return offset_sent_ != context_.control.next_offset() ||
          ready_version_sent_ != context_.view.ready_version();
 }
@@ -100,8 +101,8 @@
       return context_.hosts.Find(entry.first) == nullptr;
     });
   }
-  MakeOwnSummary();
-  const bool is_urgent = HasUrgentNews();
+  UpdateOwnSummary();
+  const bool is_urgent = HasUrgentUpdates();
   const Duration interval = is_urgent ? context_.settings.gossip_least_interval
                                       : context_.settings.gossip_interval;
   bool has_sent_all = true;
@@ -119,7 +120,7 @@
   }
 }
 
-Json Gossip::NewDigests(PeerState& state) {
+Json Gossip::CollectDigests(PeerState& state) {
   Json digests = Json::array();
   for (const EngineDigest* digest : context_.view.All()) {
     if (digest->token == 0) continue;  // Services, which every host lists.
@@ -127,7 +128,7 @@
     const std::pair<FencingToken, uint64_t> version{digest->token,
                                                     digest->sequence};
     if (version <= sent) continue;
-    if (digests.size() >= kMostDigestsInMessage) break;
+    if (digests.size() >= kMaxDigestsPerMessage) break;
     const bool has_base =
         sent.first == digest->token && sent.second >= digest->base_sequence;
     sent = version;
@@ -136,7 +137,7 @@
   return digests;
 }
 
-Json Gossip::NewSummaries(PeerState& state) {
+Json Gossip::CollectSummaries(PeerState& state) {
   Json list = Json::array();
   for (const auto& [name, summary] : summaries_) {
     int64_t& sent = state.summaries_sent[name];
@@ -153,16 +154,16 @@
   Json body{{"o", context_.control.next_offset()},
             {"based", context_.control.is_based()},
             {"c", ToMillis(context_.now - context_.log_answered_at)}};
-  Json summaries = NewSummaries(state);
+  Json summaries = CollectSummaries(state);
   if (!summaries.empty()) body["s"] = std::move(summaries);
   if (entry != nullptr && entry->data_centre == context_.settings.data_centre) {
-    Json digests = NewDigests(state);
+    Json digests = CollectDigests(state);
     if (!digests.empty()) body["d"] = std::move(digests);
-    Json beats = Json::array();
-    for (const GroupKeeper::Beat& beat : groups_.Beats()) {
-      beats.push_back({beat.group, beat.token, beat.count});
+    Json heartbeats = Json::array();
+    for (const GroupKeeper::Heartbeat& heartbeat : groups_.Heartbeats()) {
+      heartbeats.push_back({heartbeat.group, heartbeat.token, heartbeat.count});
     }
-    if (!beats.empty()) body["b"] = std::move(beats);
+    if (!heartbeats.empty()) body["b"] = std::move(heartbeats);
   }
   context_.metrics.Count("gossip_sent_total");
   context_.Send(peer, PeerMessageType::kGossip, std::move(body));
@@ -185,15 +186,15 @@
       }
     }
   }
-  if (const auto beats = body.find("b");
-      beats != body.end() && beats->is_array()) {
-    for (const Json& item : *beats) {
+  if (const auto heartbeats = body.find("b");
+      heartbeats != body.end() && heartbeats->is_array()) {
+    for (const Json& item : *heartbeats) {
       if (!item.is_array() || item.size() != 3 || !item[0].is_string() ||
           !item[1].is_number() || !item[2].is_number()) {
         continue;
       }
-      groups_.TakeBeat(item[0].get<std::string>(), item[1].get<uint64_t>(),
-                       item[2].get<uint64_t>());
+      groups_.HandleHeartbeat(item[0].get<std::string>(),
+                              item[1].get<uint64_t>(), item[2].get<uint64_t>());
     }
   }
   if (const auto summaries = body.find("s");
@@ -215,13 +216,13 @@
       }
     }
   }
-  const LogOffset theirs = FieldOr<uint64_t>(body, "o", 0);
-  const bool is_based = FieldOr<bool>(body, "based", true);
-  state.offset_heard = theirs;
-  const LogOffset ours = context_.control.next_offset();
-  if (theirs < ours || !is_based) {
+  const LogOffset peer_offset = FieldOr<uint64_t>(body, "o", 0);
+  const bool peer_has_base = FieldOr<bool>(body, "based", true);
+  state.known_offset = peer_offset;
+  const LogOffset own_offset = context_.control.next_offset();
+  if (peer_offset < own_offset || !peer_has_base) {
     SendControl(from, state);
-  } else if (theirs > ours || !context_.control.is_based()) {
+  } else if (peer_offset > own_offset || !context_.control.is_based()) {
     // The peer answers the own offset with the records after it.
     SendTo(from, state);
   } else {
@@ -240,7 +241,7 @@
     return;
   }
   const std::optional<LogBatch> records =
-      context_.control.RecordsFrom(state.offset_heard);
+      context_.control.RecordsFrom(state.known_offset);
   if (records) {
     state.control_sent_at = context_.now;
     context_.Send(peer, PeerMessageType::kControl,
@@ -278,7 +279,7 @@
         std::find(allowed.begin(), allowed.end(), name) == allowed.end()) {
       continue;
     }
-    if (context_.now - FromUnixMillis(summary.version) > kSummaryLife) continue;
+    if (context_.now - FromUnixMillis(summary.version) > kSummaryTtl) continue;
     if (std::binary_search(summary.ready.begin(), summary.ready.end(),
                            target)) {
       return name;
--- a/node/gossip.h
+++ b/node/gossip.h
@@ -52,17 +52,17 @@
   struct PeerState {
     absl::flat_hash_map<std::string, std::pair<FencingToken, uint64_t>> sent;
     std::map<std::string, int64_t> summaries_sent;
-    LogOffset offset_heard = 0;
+    LogOffset known_offset = 0;
     TimePoint sent_at;
     TimePoint control_sent_at;
   };
 
   void SendTo(const std::string& peer, PeerState& state);
-  Json NewDigests(PeerState& state);
-  Json NewSummaries(PeerState& state);
+  Json CollectDigests(PeerState& state);
+  Json CollectSummaries(PeerState& state);
   void SendControl(const std::string& peer, PeerState& state);
-  void MakeOwnSummary();
-  bool HasUrgentNews() const;
+  void UpdateOwnSummary();
+  bool HasUrgentUpdates() const;
 
   NodeContext& context_;
   GroupKeeper& groups_;
--- a/node/group_keeper.cc
+++ b/node/group_keeper.cc
@@ -61,13 +61,14 @@
 
 // Splits a bound on the replicas in the data centre between its groups, in
 // their order of preference for the model, so that owners need not coordinate.
-int GroupKeeper::Quota(const std::string& group, const std::string& target,
-                       int most) const {
+int GroupKeeper::ReplicaQuota(const std::string& group,
+                              const std::string& target,
+                              int max_replicas) const {
   const std::vector<std::string> groups = GroupsFor(target);
   const int count = static_cast<int>(groups.size());
   const int rank = static_cast<int>(
       std::find(groups.begin(), groups.end(), group) - groups.begin());
-  return most / count + (rank < most % count ? 1 : 0);
+  return max_replicas / count + (rank < max_replicas % count ? 1 : 0);
 }
 
 PlacementPolicy GroupKeeper::Policy() const {
@@ -79,25 +80,25 @@
   return policy;
 }
 
-void GroupKeeper::TakeBeat(const std::string& group, FencingToken token,
-                           uint64_t beat) {
-  HeardBeat& heard = beats_[group];
-  if (token < heard.token) return;
-  if (token == heard.token && beat <= heard.count) return;
-  heard = {token, beat, context_.now};
+void GroupKeeper::HandleHeartbeat(const std::string& group, FencingToken token,
+                                  uint64_t heartbeat) {
+  ReceivedHeartbeat& last = heartbeats_[group];
+  if (token < last.token) return;
+  if (token == last.token && heartbeat <= last.count) return;
+  last = {token, heartbeat, context_.now};
 }
 
-std::vector<GroupKeeper::Beat> GroupKeeper::Beats() const {
-  std::vector<Beat> beats;
+std::vector<GroupKeeper::Heartbeat> GroupKeeper::Heartbeats() const {
+  std::vector<Heartbeat> heartbeats;
   for (const auto& [group, owner] : owners_) {
-    beats.push_back({group, owner->token(), beat_count_});
+    heartbeats.push_back({group, owner->token(), heartbeat_count_});
   }
-  for (const auto& [group, heard] : beats_) {
+  for (const auto& [group, received] : heartbeats_) {
     if (!owners_.contains(group)) {
-      beats.push_back({group, heard.token, heard.count});
+      heartbeats.push_back({group, received.token, received.count});
     }
   }
-  return beats;
+  return heartbeats;
 }
 
 bool GroupKeeper::IsOwnerGone(const std::string& group,
@@ -110,10 +111,10 @@
   if (entry != nullptr && entry->incarnation > ownership.owner.number) {
     return true;
   }
-  const auto heard = beats_.find(group);
-  const bool is_heard =
-      heard != beats_.end() && heard->second.token == ownership.token;
-  TimePoint last = is_heard ? heard->second.advanced_at : TimePoint{};
+  const auto received = heartbeats_.find(group);
+  const bool has_heartbeat = received != heartbeats_.end() &&
+                             received->second.token == ownership.token;
+  TimePoint last = has_heartbeat ? received->second.advanced_at : TimePoint{};
   // The lease runs at the earliest from when this host first saw the owner.
   const auto [since, is_new] = unowned_since_.try_emplace(
       absl::StrCat(group, "@", ownership.token), context_.now);
@@ -165,13 +166,13 @@
   const Duration horizon = context_.settings.owner.order_horizon;
   return std::any_of(
       ownership.predecessors.begin(), ownership.predecessors.end(),
-      [&](const Predecessor& earlier) {
-        if (earlier.owner == context_.settings.self) return false;
+      [&](const Predecessor& predecessor) {
+        if (predecessor.owner == context_.settings.self) return false;
         // The host list must be newer than the takeover by its own lag, and the
         // last order of the departed host must have had time to arrive.
-        const TimePoint since =
-            earlier.superseded_at + context_.settings.host_list_lag + horizon;
-        return !context_.hosts.HasDeparted(earlier.owner, since);
+        const TimePoint since = predecessor.superseded_at +
+                                context_.settings.host_list_lag + horizon;
+        return !context_.hosts.HasDeparted(predecessor.owner, since);
       });
 }
 
@@ -234,7 +235,7 @@
 void GroupKeeper::RunTick() {
   if (context_.now - decided_at_ < kDecideInterval) return;
   decided_at_ = context_.now;
-  ++beat_count_;
+  ++heartbeat_count_;
   if (!context_.hosts.is_known() || !context_.control.is_based()) return;
   if (!context_.is_draining) {
     for (int i = 0; i < context_.settings.group_count; ++i) {
@@ -242,12 +243,12 @@
       if (!owners_.contains(group)) TryClaim(group);
     }
   }
-  for (auto& [group, owner] : owners_) DriveOwner(group, *owner);
+  for (auto& [group, owner] : owners_) RunOwner(group, *owner);
   ReleaseFinished();
   BorrowFromStore();
 }
 
-void GroupKeeper::DriveOwner(const std::string& group, EngineOwner& owner) {
+void GroupKeeper::RunOwner(const std::string& group, EngineOwner& owner) {
   const GroupOwnership* ownership = context_.control.ownership().Find(group);
   owner.SetEngines(
       context_.hosts.Engines(IndexOf(group), context_.settings.group_count));
@@ -258,8 +259,8 @@
   std::vector<OrderToSend> orders;
   owner.Decide(
       Policy(), store_,
-      [&](const std::string& target, int most) {
-        return Quota(group, target, most);
+      [&](const std::string& target, int max_replicas) {
+        return ReplicaQuota(group, target, max_replicas);
       },
       context_.now, orders);
   for (OrderToSend& order : orders) {
@@ -362,8 +363,8 @@
   it->second->TakeDemand(demand, context_.now);
   return it->second->Answer(
       demand.target, Policy(), store_,
-      [&](const std::string& target, int most) {
-        return Quota(group, target, most);
+      [&](const std::string& target, int max_replicas) {
+        return ReplicaQuota(group, target, max_replicas);
       },
       context_.now);
 }
@@ -384,8 +385,8 @@
         (ownership->token != owner->token() &&
          std::none_of(ownership->predecessors.begin(),
                       ownership->predecessors.end(),
-                      [&](const Predecessor& earlier) {
-                        return earlier.token == owner->token();
+                      [&](const Predecessor& predecessor) {
+                        return predecessor.token == owner->token();
                       }));
     if (is_recorded) return true;
     std::vector<OrderToSend> inspections;
@@ -406,12 +407,12 @@
 }
 
 void GroupKeeper::BorrowFromStore() {
-  if (context_.now - asked_store_at_ < kBorrowInterval) return;
-  const bool wants = std::any_of(
+  if (context_.now - borrow_requested_at_ < kBorrowInterval) return;
+  const bool needs_store = std::any_of(
       owners_.begin(), owners_.end(),
       [](const auto& entry) { return entry.second->wants_store(); });
-  if (!wants) return;
-  asked_store_at_ = context_.now;
+  if (!needs_store) return;
+  borrow_requested_at_ = context_.now;
   // Requests go to one random owner at a time, so that their number does not
   // grow with the number of owners.
   std::vector<std::string> others;
@@ -462,10 +463,10 @@
   json["store"] = Json{{"loads_saved", store_.loads_saved(context_.now)},
                        {"slots", store_.slots(context_.now)},
                        {"slots_in_use", store_.slots_in_use()}};
-  for (const auto& [group, heard] : beats_) {
+  for (const auto& [group, received] : heartbeats_) {
     json["beats"][group] =
-        Json{{"token", heard.token},
-             {"ms_ago", ToMillis(context_.now - heard.advanced_at)}};
+        Json{{"token", received.token},
+             {"ms_ago", ToMillis(context_.now - received.advanced_at)}};
   }
   return json;
 }
--- a/node/group_keeper.h
+++ b/node/group_keeper.h
@@ -36,21 +36,22 @@
   std::optional<DemandAnswer> TakeDemand(const std::string& group,
                                          const Demand& demand);
   // Records a heartbeat of a group's owner. Not thread-safe.
-  void TakeBeat(const std::string& group, FencingToken token, uint64_t beat);
+  void HandleHeartbeat(const std::string& group, FencingToken token,
+                       uint64_t heartbeat);
   // Lends part of the store's load budget to `host`, and accepts such a loan.
   // Not thread-safe.
   void TakeStoreBorrow(const std::string& host, const Json& body);
   void TakeStoreGrant(const Json& body);
 
   // The owner of a group increments `count` while it runs.
-  struct Beat {
+  struct Heartbeat {
     std::string group;
     FencingToken token = 0;
     uint64_t count = 0;
   };
   // Returns the newest heartbeat of each group, to be gossiped. Not
   // thread-safe.
-  std::vector<Beat> Beats() const;
+  std::vector<Heartbeat> Heartbeats() const;
   // Returns the groups of this data centre in their order of preference for
   // `target`; an adapter has the order of its base model. Not thread-safe.
   std::vector<std::string> GroupsFor(const std::string& target) const;
@@ -65,7 +66,7 @@
     TimePoint sent_at;
     TimePoint refreshed_at;
   };
-  struct HeardBeat {
+  struct ReceivedHeartbeat {
     FencingToken token = 0;
     uint64_t count = 0;
     TimePoint advanced_at;
@@ -78,7 +79,7 @@
                 TimePoint since) const;
   void TryClaim(const std::string& group);
   bool HasUnreleasedPredecessor(const GroupOwnership& ownership) const;
-  void DriveOwner(const std::string& group, EngineOwner& owner);
+  void RunOwner(const std::string& group, EngineOwner& owner);
   void PublishDigests(EngineOwner& owner);
   void PublishDigest(EngineDigest digest);
   void LogNotes(EngineOwner& owner);
@@ -87,8 +88,8 @@
   // Appends releases for groups that this host has lost or gives up, once none
   // of its orders is pending.
   void ReleaseFinished();
-  int Quota(const std::string& group, const std::string& target,
-            int most) const;
+  int ReplicaQuota(const std::string& group, const std::string& target,
+                   int max_replicas) const;
   PlacementPolicy Policy() const;
 
   NodeContext& context_;
@@ -96,12 +97,12 @@
   std::map<std::string, std::unique_ptr<EngineOwner>> owners_;
   // Owners of lost groups; released once no order is pending.
   std::vector<std::unique_ptr<EngineOwner>> retiring_;
-  std::map<std::string, HeardBeat> beats_;
+  std::map<std::string, ReceivedHeartbeat> heartbeats_;
   std::map<std::string, TimePoint> unowned_since_;
-  uint64_t beat_count_ = 0;
+  uint64_t heartbeat_count_ = 0;
   uint64_t digest_count_ = 0;
   StoreBudget store_;
-  TimePoint asked_store_at_;
+  TimePoint borrow_requested_at_;
   uint64_t grant_count_ = 0;
   TimePoint decided_at_;
   std::map<std::string, SentDigest> digests_sent_;
--- a/node/log_writer.cc
+++ b/node/log_writer.cc
@@ -14,15 +14,15 @@
   return absl::StrCat(self.host, ".", self.number, ".", ++count_);
 }
 
-void LogWriter::Append(const std::string& matter, Json body) {
-  const auto it = under_way_.find(matter);
-  if (it != under_way_.end() &&
+void LogWriter::Append(const std::string& key, Json body) {
+  const auto it = pending_.find(key);
+  if (it != pending_.end() &&
       context_.now - it->second.sent_at < kAppendTimeout) {
     return;
   }
   const std::string id = NextId();
   body["id"] = id;
-  under_way_[matter] = {id, context_.now};
+  pending_[key] = {id, context_.now};
   context_.metrics.Count("log_appends_total");
   context_.Emit(AppendRecord{kControlStream, id, body.dump()});
 }
@@ -30,7 +30,7 @@
 void LogWriter::Ended(const std::string& record_id) {
   // The key may be written again from here on, even before its record has been
   // read; the fold rejects a second record by its token.
-  std::erase_if(under_way_, [&](const auto& entry) {
+  std::erase_if(pending_, [&](const auto& entry) {
     return entry.second.record_id == record_id;
   });
 }
--- a/node/log_writer.h
+++ b/node/log_writer.h
@@ -15,21 +15,21 @@
  public:
   explicit LogWriter(NodeContext& context) : context_(context) {}
 
-  // Appends `body` unless an append for `matter` is pending. Not thread-safe.
-  void Append(const std::string& matter, Json body);
+  // Appends `body` unless an append for `key` is pending. Not thread-safe.
+  void Append(const std::string& key, Json body);
   // Ends a pending append, whether it succeeded or not. Not thread-safe.
   void Ended(const std::string& record_id);
   // Returns a unique id for a record of this process. Not thread-safe.
   std::string NextId();
 
  private:
-  struct UnderWay {
+  struct PendingAppend {
     std::string record_id;
     TimePoint sent_at;
   };
 
   NodeContext& context_;
-  std::map<std::string, UnderWay> under_way_;  // By key.
+  std::map<std::string, PendingAppend> pending_;  // By key.
   uint64_t count_ = 0;
 };
 
--- a/node/placement_lease.cc
+++ b/node/placement_lease.cc
@@ -16,58 +16,58 @@
 // The owner is presumed dead after two lost heartbeats and a margin for the
 // third. No model is loaded until another host takes over; a premature takeover
 // costs no more than that.
-constexpr Duration kOwnerSilence = milliseconds(1300);
+constexpr Duration kOwnerTimeout = milliseconds(1300);
 // How often the holder reads its lease to detect that it was superseded.
-constexpr Duration kLeaseCheck = seconds(1);
+constexpr Duration kLeaseCheckInterval = seconds(1);
 // Where engines do not check fencing tokens, a lease stays valid for this long
 // after the read that confirmed it was sent. A new holder sends no order until
 // 3 s (the order lease) after it has read its own record, which is later than
 // that read. The remaining half second allows for hosts with late timers. The
 // holder's last order must have arrived by then, not only have been sent.
-constexpr Duration kLeaseTrust = milliseconds(2500);
+constexpr Duration kLeaseValidity = milliseconds(2500);
 // A holder hands over if the store has not confirmed its lease for this long:
 // one check and its retry have failed. Shorter than the validity, so that the
 // last orders are answered before it ends.
-constexpr Duration kUnproven = milliseconds(1500);
-constexpr Duration kLeaseTimeout = milliseconds(1500);
-constexpr Duration kLeaseRetry = milliseconds(300);
+constexpr Duration kMaxUnconfirmedAge = milliseconds(1500);
+constexpr Duration kAppendTimeout = milliseconds(1500);
+constexpr Duration kReadRetryInterval = milliseconds(300);
 // Spreads the claims of hosts that detect the owner's failure together.
-constexpr Duration kClaimStep = milliseconds(10);
-constexpr uint64_t kClaimSteps = 8;
+constexpr Duration kClaimStaggerStep = milliseconds(10);
+constexpr uint64_t kClaimStaggerSteps = 8;
 // Longest extra delay of a claim, for a host with no processor share. The owner
 // plans for all hosts, so hosts with a larger share of a core claim earlier.
-constexpr Duration kClaimByCapacity = milliseconds(400);
+constexpr Duration kMaxCapacityDelay = milliseconds(400);
 // Ticks come every kTickInterval. A longer gap than this means that the process
 // or its machine was paused, and another host may have taken over meanwhile.
-constexpr Duration kStandstill = milliseconds(700);
+constexpr Duration kMaxTickGap = milliseconds(700);
 
 }  // namespace
 
 bool PlacementLease::IsMine() const {
-  return is_known_ && record_ && !record_->is_released &&
+  return has_read_ && record_ && !record_->is_released &&
          record_->holder == context_.settings.self;
 }
 
 bool PlacementLease::MayOrder() const {
-  if (!is_held_ || is_unsure_ || context_.is_draining) return false;
-  if (context_.now < orders_from_) return false;
-  const std::optional<TimePoint> arrive_by = OrdersArriveBy();
+  if (!is_held_ || needs_reread_ || context_.is_draining) return false;
+  if (context_.now < may_order_from_) return false;
+  const std::optional<TimePoint> arrive_by = OrderArrivalDeadline();
   return !arrive_by || context_.now < *arrive_by;
 }
 
-std::optional<TimePoint> PlacementLease::OrdersArriveBy() const {
+std::optional<TimePoint> PlacementLease::OrderArrivalDeadline() const {
   if (context_.settings.engines_check_fences) return std::nullopt;
-  return asked_of_ + kLeaseTrust;
+  return confirmed_at_ + kLeaseValidity;
 }
 
-bool PlacementLease::IsUnproven() const {
+bool PlacementLease::IsUnconfirmed() const {
   return is_held_ && !context_.settings.engines_check_fences &&
-         context_.now - asked_of_ > kUnproven;
+         context_.now - confirmed_at_ > kMaxUnconfirmedAge;
 }
 
 PeerAddress PlacementLease::Owner() const {
   if (is_held_) return {};
-  if (told_token_ > token_) return told_owner_;
+  if (reported_token_ > token_) return reported_owner_;
   if (!record_ || record_->is_released ||
       record_->holder.host == context_.settings.self.host) {
     return {};
@@ -77,36 +77,37 @@
 
 // After a pause this host's state is stale: another host may have taken the
 // lease. Blocks orders until the lease has been read again.
-void PlacementLease::WatchClock() {
-  const bool stood_still =
-      last_tick_ != TimePoint{} && context_.now - last_tick_ > kStandstill;
-  if (stood_still) {
-    is_unsure_ = true;
-    unsure_since_ = context_.now;
-    asked_at_ = TimePoint{};
-    heard_at_ = context_.now;
+void PlacementLease::DetectPause() {
+  const bool was_paused =
+      last_tick_ != TimePoint{} && context_.now - last_tick_ > kMaxTickGap;
+  if (was_paused) {
+    needs_reread_ = true;
+    reread_since_ = context_.now;
+    read_sent_at_ = TimePoint{};
+    last_contact_at_ = context_.now;
     LogEvent(LogLevel::kWarning, "stood_still")
         .With("gap_ms", ToMillis(context_.now - last_tick_));
   }
   last_tick_ = context_.now;
 }
 
-void PlacementLease::Doubt() {
-  is_unsure_ = true;
-  unsure_since_ = context_.now;
+void PlacementLease::RequireReread() {
+  needs_reread_ = true;
+  reread_since_ = context_.now;
 }
 
 void PlacementLease::NoteOwner(const KnownOwner& owner) {
   if (owner.peer.host.empty() || owner.token <= token_) return;
-  if (owner.token < told_token_) return;
+  if (owner.token < reported_token_) return;
   // Reads the record of the newer holder. Until the store is reachable, the
   // reported address is enough to send reports to it.
-  const Duration pause =
-      owner.token > told_token_ ? kLeaseRetry : Duration{kLeaseCheck};
-  if (context_.now - asked_at_ > pause) asked_at_ = TimePoint{};
+  const Duration min_interval = owner.token > reported_token_
+                                    ? kReadRetryInterval
+                                    : Duration{kLeaseCheckInterval};
+  if (context_.now - read_sent_at_ > min_interval) read_sent_at_ = TimePoint{};
   if (owner.peer.host == context_.settings.self.host) return;
-  told_owner_ = owner.peer;
-  told_token_ = owner.token;
+  reported_owner_ = owner.peer;
+  reported_token_ = owner.token;
 }
 
 KnownOwner PlacementLease::NewestOwner() const {
@@ -116,34 +117,34 @@
   }
   const PeerAddress owner = Owner();
   if (owner.host.empty()) return {};
-  return {owner, std::max(token_, told_token_)};
+  return {owner, std::max(token_, reported_token_)};
 }
 
-void PlacementLease::NoteSignOfLife(const PeerAddress& host,
-                                    FencingToken token) {
+void PlacementLease::RecordHeartbeat(const PeerAddress& host,
+                                     FencingToken token) {
   NoteOwner({host, token});
-  if (Owner().host == host.host) heard_at_ = context_.now;
+  if (Owner().host == host.host) last_contact_at_ = context_.now;
 }
 
-void PlacementLease::TakeResignation(FencingToken token) {
+void PlacementLease::HandleResignation(FencingToken token) {
   if (token < token_) return;
   resigned_token_ = std::max(resigned_token_, token);
   LogEvent(LogLevel::kInfo, "lease_resigned").With("token", token);
 }
 
-PlacementLease::Change PlacementLease::TakeRead(const LeaseRead& event) {
+PlacementLease::Change PlacementLease::HandleRead(const LeaseRead& event) {
   if (!event.is_answered) return Change::kNone;
-  if (event.asked_at < asked_of_) return Change::kNone;  // Out of order.
-  read_at_ = context_.now;
+  if (event.asked_at < confirmed_at_) return Change::kNone;  // Out of order.
+  answered_at_ = context_.now;
   // An answer may have been buffered in a socket while this host was paused or
   // partitioned, and another host may have taken the lease since. The record
   // is therefore confirmed only as of the time the read was sent, not of the
   // time its answer was handled.
-  asked_of_ = event.asked_at;
-  if (event.asked_at >= unsure_since_) is_unsure_ = false;
-  end_ = event.end;
-  const bool is_changed = !is_known_ || event.token != token_;
-  is_known_ = true;
+  confirmed_at_ = event.asked_at;
+  if (event.asked_at >= reread_since_) needs_reread_ = false;
+  log_end_ = event.end;
+  const bool is_changed = !has_read_ || event.token != token_;
+  has_read_ = true;
   if (!is_changed) return Change::kNone;
   // An earlier incarnation of this host is dead and its connections were reset,
   // so none of its orders is in flight. After a power cut of all hosts the
@@ -155,8 +156,8 @@
       resigned_token_ != token_;
   record_ = event.record;
   token_ = event.token;
-  since_ = context_.now;
-  heard_at_ = context_.now;
+  record_seen_at_ = context_.now;
+  last_contact_at_ = context_.now;
   LogEvent(LogLevel::kInfo, "lease_read")
       .With("holder", record_ ? record_->holder.host : "")
       .With("token", token_)
@@ -169,44 +170,47 @@
   }
   // The previous holder may have orders in flight and may not have detected
   // yet that it was superseded; one that has resigned has none.
-  orders_from_ = had_other_holder ? context_.now + context_.settings.order_lease
-                                  : context_.now;
+  may_order_from_ = had_other_holder
+                        ? context_.now + context_.settings.order_lease
+                        : context_.now;
   is_held_ = true;
   LogEvent(LogLevel::kInfo, "lease_held")
       .With("token", token_)
-      .With("orders_in_ms", ToMillis(orders_from_ - context_.now));
+      .With("orders_in_ms", ToMillis(may_order_from_ - context_.now));
   return Change::kGained;
 }
 
-void PlacementLease::TakeAppendEnd() {
+void PlacementLease::HandleAppendEnded() {
   is_appending_ = false;
   // The next read of the record shows whether the append succeeded.
-  asked_at_ = TimePoint{};
+  read_sent_at_ = TimePoint{};
 }
 
 Duration PlacementLease::ClaimStagger() const {
   const uint64_t rank =
       StableHash(absl::StrCat(context_.settings.self.host, "|", token_)) %
-      kClaimSteps;
-  const double missing =
+      kClaimStaggerSteps;
+  const double missing_share =
       1.0 - std::clamp(context_.settings.cpu_share, 0.0, 1.0);
-  return kClaimStep * static_cast<int64_t>(rank) +
-         FromSeconds(ToSeconds(kClaimByCapacity) * missing);
+  return kClaimStaggerStep * static_cast<int64_t>(rank) +
+         FromSeconds(ToSeconds(kMaxCapacityDelay) * missing_share);
 }
 
-void PlacementLease::Drive(bool can_place) {
-  if (is_appending_ && context_.now - claimed_at_ > kLeaseTimeout) {
+void PlacementLease::ReadOrClaim(bool can_place) {
+  if (is_appending_ && context_.now - append_sent_at_ > kAppendTimeout) {
     is_appending_ = false;
-    asked_at_ = TimePoint{};
+    read_sent_at_ = TimePoint{};
   }
-  const bool is_waiting =
-      asked_at_ > asked_of_ && context_.now - asked_at_ < kLeaseRetry;
-  if (is_appending_ || is_waiting) return;
-  const bool must_read = !is_known_ || is_unsure_ ||
-                         (is_held_ && context_.now - asked_at_ > kLeaseCheck) ||
-                         asked_at_ == TimePoint{};
+  const bool is_read_pending =
+      read_sent_at_ > confirmed_at_ &&
+      context_.now - read_sent_at_ < kReadRetryInterval;
+  if (is_appending_ || is_read_pending) return;
+  const bool must_read =
+      !has_read_ || needs_reread_ ||
+      (is_held_ && context_.now - read_sent_at_ > kLeaseCheckInterval) ||
+      read_sent_at_ == TimePoint{};
   if (must_read) {
-    asked_at_ = context_.now;
+    read_sent_at_ = context_.now;
     context_.Emit(ReadLease{context_.now});
     return;
   }
@@ -216,31 +220,32 @@
 void PlacementLease::TryClaim(bool can_place) {
   // Reclaiming early would let orders of two holders reach engines in turns.
   if (context_.now - resigned_at_ < context_.settings.order_lease) return;
-  const bool is_own_earlier_life =
+  const bool is_previous_incarnation =
       record_ && record_->holder.host == context_.settings.self.host &&
       record_->holder != context_.settings.self;
   const bool is_resigned = record_ && resigned_token_ == token_;
-  const bool is_free =
-      !record_ || record_->is_released || is_own_earlier_life || is_resigned;
+  const bool is_free = !record_ || record_->is_released ||
+                       is_previous_incarnation || is_resigned;
   // All hosts receive the first listing at about the same time; without it in
   // this bound, the first host to see one would claim, however small its
   // processor share. A host that was partitioned has had no contact with anyone
   // and first waits for heartbeats: claims after each partition stopped all
   // loads for the two seconds of a takeover.
-  const TimePoint heard =
-      std::max({heard_at_, since_, listed_at_, context_.log_back_at});
-  const Duration silence = is_free ? Duration{0} : kOwnerSilence;
-  if (context_.now - heard < silence + ClaimStagger()) return;
+  const TimePoint last_contact =
+      std::max({last_contact_at_, record_seen_at_, first_listed_at_,
+                context_.log_back_at});
+  const Duration timeout = is_free ? Duration{0} : kOwnerTimeout;
+  if (context_.now - last_contact < timeout + ClaimStagger()) return;
   if (!can_place) return;  // Another host may know servers to plan for.
-  if (context_.now - read_at_ > kLeaseRetry) {
+  if (context_.now - answered_at_ > kReadRetryInterval) {
     // The state may be stale: claim only on a record that was just read.
-    asked_at_ = TimePoint{};
+    read_sent_at_ = TimePoint{};
     return;
   }
   LogEvent(LogLevel::kInfo, "lease_claim")
       .With("previous_token", token_)
       .With("resigned", is_resigned ? "yes" : "no")
-      .With("no_contact_ms", ToMillis(context_.now - heard));
+      .With("no_contact_ms", ToMillis(context_.now - last_contact));
   Append(/*is_released=*/false);
 }
 
@@ -253,7 +258,7 @@
 void PlacementLease::Resign() {
   LogEvent(LogLevel::kWarning, "lease_given_up")
       .With("token", token_)
-      .With("proven_ms_ago", ToMillis(context_.now - asked_of_));
+      .With("proven_ms_ago", ToMillis(context_.now - confirmed_at_));
   is_held_ = false;
   resigned_token_ = token_;
   resigned_at_ = context_.now;
@@ -261,21 +266,22 @@
 
 void PlacementLease::Append(bool is_released) {
   is_appending_ = true;
-  claimed_at_ = context_.now;
+  append_sent_at_ = context_.now;
   context_.Emit(AppendLease{
       {context_.settings.self, context_.settings.peer_address, is_released},
-      end_});
+      log_end_});
 }
 
 Json PlacementLease::ToJson() const {
-  return Json{{"holder", record_ ? record_->holder.host : ""},
-              {"token", token_},
-              {"is_holder", is_held_},
-              {"may_order", MayOrder()},
-              {"read_ms_ago", ToMillis(context_.now - read_at_)},
-              {"proven_ms_ago", ToMillis(context_.now - asked_of_)},
-              {"sign_of_life_ms_ago", ToMillis(context_.now - heard_at_)},
-              {"owner", Owner().host}};
+  return Json{
+      {"holder", record_ ? record_->holder.host : ""},
+      {"token", token_},
+      {"is_holder", is_held_},
+      {"may_order", MayOrder()},
+      {"read_ms_ago", ToMillis(context_.now - answered_at_)},
+      {"proven_ms_ago", ToMillis(context_.now - confirmed_at_)},
+      {"sign_of_life_ms_ago", ToMillis(context_.now - last_contact_at_)},
+      {"owner", Owner().host}};
 }
 
 }  // namespace applehall
--- a/node/placement_lease.h
+++ b/node/placement_lease.h
@@ -26,11 +26,11 @@
   // Applies the store's answer to a read. kGained: this host holds the lease
   // under a new token. kLost: it no longer holds the lease, or not under the
   // token it had. Not thread-safe.
-  Change TakeRead(const LeaseRead& event);
+  Change HandleRead(const LeaseRead& event);
   // Ends the append under way, whether it succeeded or not. Not thread-safe.
-  void TakeAppendEnd();
+  void HandleAppendEnded();
   // Records a message from the holder of `token`. Not thread-safe.
-  void NoteSignOfLife(const PeerAddress& host, FencingToken token);
+  void RecordHeartbeat(const PeerAddress& host, FencingToken token);
   // Records the holder that another host reported. This is no heartbeat, but
   // tells a host without access to the store where to send its reports. Not
   // thread-safe.
@@ -40,20 +40,20 @@
   KnownOwner NewestOwner() const;
   // Records that the holder under `token` sends no more orders. Not
   // thread-safe.
-  void TakeResignation(FencingToken token);
+  void HandleResignation(FencingToken token);
   // Records the time of the first listing of backend servers. Not
   // thread-safe.
-  void NoteListed() { listed_at_ = context_.now; }
+  void RecordFirstListing() { first_listed_at_ = context_.now; }
   // Blocks orders until the lease has been read again; called when an engine
   // reports a newer token than the held one. Not thread-safe.
-  void Doubt();
+  void RequireReread();
 
   // Detects that this process was paused. Requires: called once per tick. Not
   // thread-safe.
-  void WatchClock();
+  void DetectPause();
   // Reads or claims the lease when due. `can_place`: backend servers are
   // listed, so that owning placement is of use. Not thread-safe.
-  void Drive(bool can_place);
+  void ReadOrClaim(bool can_place);
   // Appends a record that releases the held lease.
   // Requires: no order awaits its answer. Not thread-safe.
   void Release();
@@ -68,18 +68,18 @@
   bool MayOrder() const;
   // Time by which an order must have arrived at its engine; nullopt where
   // engines check tokens. Not thread-safe.
-  std::optional<TimePoint> OrdersArriveBy() const;
+  std::optional<TimePoint> OrderArrivalDeadline() const;
   // True if this host holds the lease, engines do not check tokens, and the
   // store has not confirmed the lease for too long. Not thread-safe.
-  bool IsUnproven() const;
+  bool IsUnconfirmed() const;
   bool is_appending() const { return is_appending_; }
   FencingToken token() const { return token_; }
   // Address that this host reports to; empty if the holder is unknown or is
   // this host. Not thread-safe.
   PeerAddress Owner() const;
   // Whether the holder was in contact within `duration`. Not thread-safe.
-  bool HeardWithin(Duration duration) const {
-    return context_.now - heard_at_ <= duration;
+  bool HadContactWithin(Duration duration) const {
+    return context_.now - last_contact_at_ <= duration;
   }
   Json ToJson() const;
 
@@ -90,27 +90,28 @@
   void Append(bool is_released);
 
   NodeContext& context_;
-  bool is_known_ = false;
+  bool has_read_ = false;
   std::optional<LeaseRecord> record_;
   FencingToken token_ = 0;
-  LogOffset end_ = 0;
-  TimePoint read_at_;   // When the last answer arrived.
-  TimePoint asked_of_;  // When the read that it answers was sent.
-  TimePoint asked_at_;  // When the last read was sent; epoch: a read is due.
-  TimePoint since_;     // When the current record was first read.
-  TimePoint listed_at_;
-  TimePoint heard_at_;  // Last contact with the holder.
+  LogOffset log_end_ = 0;
+  TimePoint answered_at_;   // When the last answer arrived.
+  TimePoint confirmed_at_;  // When the read that it answers was sent.
+  TimePoint
+      read_sent_at_;  // When the last read was sent; epoch: a read is due.
+  TimePoint record_seen_at_;  // When the current record was first read.
+  TimePoint first_listed_at_;
+  TimePoint last_contact_at_;  // Last contact with the holder.
   // Holder reported by hosts before its record could be read here.
-  PeerAddress told_owner_;
-  FencingToken told_token_ = 0;
+  PeerAddress reported_owner_;
+  FencingToken reported_token_ = 0;
   FencingToken resigned_token_ = 0;  // Its holder sends no more orders.
   TimePoint resigned_at_;            // When this host resigned.
-  TimePoint claimed_at_;
+  TimePoint append_sent_at_;
   bool is_appending_ = false;
   bool is_held_ = false;
-  bool is_unsure_ = false;  // No orders until the lease has been read again.
-  TimePoint unsure_since_;  // Answers to reads sent before this do not count.
-  TimePoint orders_from_;
+  bool needs_reread_ = false;  // No orders until the lease has been read again.
+  TimePoint reread_since_;  // Answers to reads sent before this do not count.
+  TimePoint may_order_from_;
   TimePoint last_tick_;
 };
 
--- a/tests/claims/claim_guard_test.cc
+++ b/tests/claims/claim_guard_test.cc
@@ -192,7 +192,7 @@
 // More claims wait than one record takes; the rest must follow by itself.
 TEST_F(ClaimGuardTest, ClaimsBeyondOneBatchFollow) {
   ClaimSettings settings;
-  settings.most_in_batch = 2;
+  settings.max_batch_size = 2;
   ClaimGuard guard({"entry-4", 1}, settings);
   Read(guard);
   for (RequestHandle handle = 1; handle <= 5; ++handle) {
