--- a/node/gossip.cc
+++ b/node/gossip.cc
@@ -10,7 +10,7 @@
 constexpr size_t kControlReaders = 2;
 // A control state that no peer has confirmed for this long is read from the
 // log.
-constexpr Duration kMaxConfirmationAge = std::chrono::seconds(2);
+constexpr Duration kMaxStateAge = std::chrono::seconds(2);
 constexpr Duration kSummaryInterval = std::chrono::seconds(1);
 constexpr Duration kSummaryRefresh = std::chrono::seconds(10);
 constexpr Duration kSummaryTtl = std::chrono::seconds(30);
@@ -52,8 +52,7 @@
 
 bool Gossip::IsControlReader() const {
   if (!context_.hosts.is_known()) return true;
-  if (context_.now - context_.log_answered_at > kMaxConfirmationAge)
-    return true;
+  if (context_.now - context_.log_answered_at > kMaxStateAge) return true;
   if (chosen_version_ == context_.hosts.version()) return is_chosen_reader_;
   chosen_version_ = context_.hosts.version();
   std::vector<std::pair<uint64_t, std::string>> ranked;
--- a/tests/claims/claim_guard_test.cc
+++ b/tests/claims/claim_guard_test.cc
@@ -16,7 +16,7 @@
 
 constexpr char kStream[] = "claims";
 
-// Two hosts that guard keys on one log.
+// Two hosts that claim keys on one log.
 class ClaimGuardTest : public testing::Test {
  protected:
   ClaimGuardTest()
@@ -28,7 +28,7 @@
 
   std::string NewKey() { return MakeUuid7(clock_.Now(), random_); }
 
-  // Appends what a guard wants to; true if it wanted.
+  // Appends the next record of `guard`; false if none is due.
   bool AppendNext(ClaimGuard& guard) {
     const std::optional<Json> record = guard.NextRecord(clock_.Now());
     if (!record) return false;
@@ -56,11 +56,9 @@
   ClaimGuard second_;
 };
 
-// A caller sends a door-open to two hosts at once. Both hosts started in the
-// same millisecond and draw the same random numbers. When claim ids were
-// drawn at random, both hosts took the one winning claim for their own, and
-// the door was opened twice.
-TEST_F(ClaimGuardTest, HostsStartedAlikeDoNotShareAClaim) {
+// Guards against random claim ids: two hosts with equal random seeds drew the
+// same id, and both treated the one winning claim as their own.
+TEST_F(ClaimGuardTest, IdenticallySeededHostsDoNotShareClaim) {
   const std::string key = NewKey();
   ASSERT_EQ(first_.Begin(1, key, clock_.Now()), ClaimGuard::Standing::kPending);
   ASSERT_EQ(second_.Begin(2, key, clock_.Now()),
@@ -73,8 +71,8 @@
 }
 
 // The append of a claim takes effect, but its answer is lost. The host must
-// find out from the log itself, and run the request once.
-TEST_F(ClaimGuardTest, LostAppendAnswerIsSettledByReadingBack) {
+// find its record on the log and grant the request once.
+TEST_F(ClaimGuardTest, LostAppendAnswerIsResolvedByReadingLog) {
   ASSERT_EQ(first_.Begin(1, NewKey(), clock_.Now()),
             ClaimGuard::Standing::kPending);
   Linger();
@@ -89,10 +87,9 @@
   EXPECT_TRUE(first_.TakeGranted().empty()) << "granted twice";
 }
 
-// A caller gives up while its claim is on the way to the log. Nothing was
-// sent, so the caller is told "not run" and tries the same key again. The
-// late claim must not block it.
-TEST_F(ClaimGuardTest, AbandonedClaimIsGivenBack) {
+// A caller cancels while its claim is in flight to the log, gets the verdict
+// "not run" and retries the same key. The late claim must not block the retry.
+TEST_F(ClaimGuardTest, AbandonedClaimIsReleased) {
   const std::string key = NewKey();
   first_.Begin(1, key, clock_.Now());
   Linger();
@@ -101,15 +98,15 @@
   ReadAll();
   EXPECT_TRUE(first_.TakeGranted().empty());
   Linger();
-  ASSERT_TRUE(AppendNext(first_)) << "the key is not given back";
+  ASSERT_TRUE(AppendNext(first_)) << "the key is not released";
   ReadAll();
   EXPECT_EQ(second_.Begin(2, key, clock_.Now()),
             ClaimGuard::Standing::kPending);
 }
 
-// A claim is given back, and only then a doubled copy of its record arrives
-// on the log. Were it to win, the key would stay taken by nobody.
-TEST_F(ClaimGuardTest, DoubledRecordDoesNotReviveAGivenBackClaim) {
+// A duplicate of a claim's record arrives after the claim's release. If it won,
+// the key would stay claimed without a request to run.
+TEST_F(ClaimGuardTest, DuplicateRecordDoesNotReviveReleasedClaim) {
   const std::string key = NewKey();
   first_.Begin(1, key, clock_.Now());
   Linger();
@@ -126,10 +123,9 @@
             ClaimGuard::Standing::kPending);
 }
 
-// A collection was confirmed an hour ago. Its claim has expired from the log
-// and the host that ran it was replaced. A kiosk that was offline repeats it
-// now: a guard that forgot would run it again.
-TEST_F(ClaimGuardTest, OldKeyIsRefusedAfterRetentionAndReplacement) {
+// A caller repeats a request whose claim has expired from the log, at a host
+// that replaces the one that ran it. The request must not run again.
+TEST_F(ClaimGuardTest, ExpiredKeyIsRefusedByReplacementHost) {
   const std::string key = NewKey();
   first_.Begin(1, key, clock_.Now());
   Linger();
@@ -146,9 +142,9 @@
             ClaimGuard::Standing::kKeyTooOld);
 }
 
-// The log kept less than the window of keys. A new host cannot know whether
-// a key from before the oldest record was claimed, and must not guess.
-TEST_F(ClaimGuardTest, NewHostRefusesKeysFromBeforeWhatTheLogKeeps) {
+// The log's retention is shorter than the window of keys. A new host cannot see
+// whether a key older than the oldest record was claimed, so it must refuse it.
+TEST_F(ClaimGuardTest, NewHostRefusesKeysOlderThanLogRetention) {
   log_.SetRetention(minutes(1));
   const std::string old_key = NewKey();
   first_.Begin(1, old_key, clock_.Now());
@@ -169,11 +165,10 @@
             ClaimGuard::Standing::kPending);
 }
 
-// A host has its claim on the log and is paused before it reads it back. While
-// it sleeps, the log forgets: an earlier claim of the same key, which another
-// host has run, is among what is lost. When it wakes its own claim looks like
-// the first. Found by the model of the claims (guard GAP).
-TEST_F(ClaimGuardTest, PausedPastTheRetentionIsNotTheWinner) {
+// A host is paused before it reads its claim back, until an earlier claim of
+// the same key, which another host has run, expires from the log. Its own claim
+// then looks like the first. Found by the model of the claims (guard GAP).
+TEST_F(ClaimGuardTest, HostPausedPastRetentionDoesNotWin) {
   log_.SetRetention(minutes(1));
   const std::string key = NewKey();
   first_.Begin(1, key, clock_.Now());
@@ -189,8 +184,8 @@
   EXPECT_TRUE(second_.TakeGranted().empty()) << "the key would run twice";
 }
 
-// More claims wait than one record takes; the rest must follow by itself.
-TEST_F(ClaimGuardTest, ClaimsBeyondOneBatchFollow) {
+// Claims beyond the maximum batch size must be appended in further records.
+TEST_F(ClaimGuardTest, ClaimsBeyondBatchSizeFollowInNextBatches) {
   ClaimSettings settings;
   settings.max_batch_size = 2;
   ClaimGuard guard({"entry-4", 1}, settings);
@@ -208,7 +203,7 @@
   EXPECT_EQ(granted, 5u);
 }
 
-TEST_F(ClaimGuardTest, KeysMustTellTheirTimeOfIssue) {
+TEST_F(ClaimGuardTest, KeyWithoutValidIssueTimeIsRejected) {
   EXPECT_EQ(first_.Begin(1, "door-7", clock_.Now()),
             ClaimGuard::Standing::kKeyMalformed);
   const std::string ahead = MakeUuid7(clock_.Now() + minutes(5), random_);
--- a/tests/node/chaos_test.cc
+++ b/tests/node/chaos_test.cc
@@ -1,5 +1,5 @@
-// Whole deployments under random failures, several at a time. The promises
-// are checked after each step against what really is, in the fakes.
+// Runs whole deployments under random, overlapping failures. After each step
+// the promises are checked against the true state in the fakes.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Breaks something, and mends something else.
-void Disturb(Deployment& deployment, Random& random) {
+// Injects or repairs a random fault.
+void InjectFault(Deployment& deployment, Random& random) {
   const std::vector<std::string> hosts = deployment.HostNames();
   const std::string host = hosts[random.Below(hosts.size())];
   const std::string engine =
@@ -67,7 +67,7 @@
   }
 }
 
-void MendAll(Deployment& deployment) {
+void RepairAll(Deployment& deployment) {
   deployment.SetLogDown(false);
   deployment.SetLogSlow(Duration{0});
   deployment.LoseAppendAnswers(0);
@@ -85,9 +85,9 @@
   }
 }
 
-// Plays one deployment under failures drawn from `seed`. What was broken first;
-// empty if nothing was.
-std::string PlayChaos(uint64_t seed) {
+// Runs one deployment under failures drawn from `seed`. Returns the first
+// broken promise; empty if all hold.
+std::string RunChaos(uint64_t seed) {
   Random random(seed);
   DeploymentSettings settings;
   settings.seed = seed;
@@ -105,7 +105,7 @@
     const std::string host = hosts[random.Below(hosts.size())];
     switch (random.Below(5)) {
       case 0:
-        Disturb(deployment, random);
+        InjectFault(deployment, random);
         break;
       case 1: {
         if (keys.empty() || random.Below(2) == 0) {
@@ -133,21 +133,22 @@
     }
     deployment.RunFor(milliseconds(random.Below(1500)));
   }
-  MendAll(deployment);
+  RepairAll(deployment);
   deployment.RunFor(seconds(100));
   for (const std::string& broken : deployment.broken_promises()) {
     return broken;
   }
   for (const auto& [id, outcome] : deployment.outcomes()) {
-    if (outcome.answers != 1) return "a request has not one answer";
+    if (outcome.answers != 1) return "a request has no or several answers";
   }
-  // With everything mended, everything is served again, by one rule set.
+  // After all repairs, all hosts are ready with one rule set and serve
+  // requests.
   const LogOffset version =
       deployment.node("entry-1").context().control.rules().version();
   for (const std::string& host : deployment.HostNames()) {
     if (!deployment.node(host).IsReady()) return host + " is not ready";
     if (deployment.node(host).context().control.rules().version() != version) {
-      return host + " has other rules";
+      return host + " has a different rule set version";
     }
   }
   std::vector<uint64_t> last;
@@ -157,7 +158,7 @@
   deployment.RunFor(seconds(40));
   for (const uint64_t id : last) {
     if (!deployment.outcome(id).is_answered) {
-      return "not served after all was mended: " +
+      return "not served after all faults were repaired: " +
              deployment.outcome(id).refusal.detail;
     }
   }
@@ -165,26 +166,26 @@
 }
 
 RC_GTEST_PROP(Chaos, PromisesHoldUnderManyFailures, ()) {
-  const std::string broken = PlayChaos(*rc::gen::arbitrary<uint64_t>());
+  const std::string broken = RunChaos(*rc::gen::arbitrary<uint64_t>());
   if (!broken.empty()) RC_FAIL(broken);
 }
 
-// Guards against a second replica of a model that may have one.
+// Guards against a second replica of a model that is limited to one.
 TEST(ChaosRegression, NoSecondReplicaUnderSeed2802747) {
-  EXPECT_EQ(PlayChaos(2802747), "");
+  EXPECT_EQ(RunChaos(2802747), "");
 }
 
-// Guards against a second replica of a model that may have one.
+// Guards against a second replica of a model that is limited to one.
 TEST(ChaosRegression, NoSecondReplicaUnderFurtherSeeds) {
   for (const uint64_t seed : {2644, 79443, 1655008626}) {
-    EXPECT_EQ(PlayChaos(seed), "") << "seed " << seed;
+    EXPECT_EQ(RunChaos(seed), "") << "seed " << seed;
   }
 }
 
-// Guards against a caller that never gets an outcome.
+// Guards against requests without an outcome.
 TEST(ChaosRegression, EachRequestEndsInTime) {
   for (const uint64_t seed : {1907623156216692833, 1592960923628709}) {
-    EXPECT_EQ(PlayChaos(seed), "") << "seed " << seed;
+    EXPECT_EQ(RunChaos(seed), "") << "seed " << seed;
   }
 }
 
--- a/tests/node/differential_test.cc
+++ b/tests/node/differential_test.cc
@@ -1,6 +1,6 @@
-// The production decision parts against naive versions written for clarity,
-// over random events. RapidCheck draws the seeds; RC_PARAMS fixes them, and a
-// failure prints what to set to see it again.
+// Compares decision components with naive reference versions over random
+// events. RapidCheck draws the seeds; RC_PARAMS fixes them, and a failure
+// prints the value that reproduces it.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -91,7 +91,7 @@
   }
 }
 
-// A rule said to be shadowed must never decide.
+// A rule that is reported as shadowed must never match first.
 RC_GTEST_PROP(Differential, CoveredConditionsNeverMatchFirst, ()) {
   Random random(AnySeed());
   const Rule wide = AnyRule(random, 1);
@@ -134,7 +134,7 @@
       const auto best = queue.Best(kStart, true);
       RC_ASSERT(best.has_value());
       RC_ASSERT(naive.contains(*best));
-      // Background work goes only when nothing else waits.
+      // Background requests are served only if no others are queued.
       if (naive[*best].is_background &&
           naive[*best].deadline > kStart + seconds(120)) {
         for (const auto& [other, request] : naive) {
@@ -154,13 +154,13 @@
 
 // ---- Fold of the log ----
 
-// The naive fold: the whole log, from its first record, in order.
+// Reference fold: applies the whole log in order from its first record.
 struct NaiveFold {
   LogOffset version = 0;
   std::string name;
   std::map<std::string, FencingToken> tokens;
 
-  void Take(const LogRecord& record) {
+  void ApplyRecord(const LogRecord& record) {
     const Json body = *ParseJson(record.payload);
     const std::string type = body.value("type", "");
     if (type == "publish" && body["base"].get<LogOffset>() == version) {
@@ -174,9 +174,9 @@
   }
 };
 
-// Hosts read the log in pieces that are doubled, late and crossed; some start
-// when its beginning has expired; states are carried forward by hosts that
-// lag. Whoever claims to know must agree with the naive fold.
+// Hosts read the log in duplicate, late and reordered batches; some start after
+// its first records have expired; lagging hosts write snapshots. Each host with
+// a base state must agree with the reference fold.
 RC_GTEST_PROP(Differential, ControlFoldAgreesWithTheWholeLog, ()) {
   Random random(AnySeed());
   FakeLog log(seconds(100));
@@ -188,7 +188,7 @@
   std::vector<Json> snapshots;
   const auto append = [&](const Json& body) {
     const LogOffset offset = log.Append("control", body.dump(), now);
-    naive.Take({offset, now, body.dump()});
+    naive.ApplyRecord({offset, now, body.dump()});
     after.push_back(naive);
   };
   for (int step = 0; step < 150; ++step) {
@@ -254,9 +254,9 @@
 
 // ---- Ledger ----
 
-// Two owners in turn, one of them a ghost that still sends, order one engine;
-// orders and answers are lost, doubled and crossed. The engine does whatever
-// it is told and must never be overfull.
+// Two successive owners send orders to one engine, the superseded one too;
+// orders and answers are lost, duplicated and reordered. The engine executes
+// every order it accepts and must never be overcommitted.
 RC_GTEST_PROP(Differential, LedgerNeverOvercommitsTheEngine, ()) {
   Random random(AnySeed());
   const bool checks_fence = random.Below(2) == 0;
@@ -295,8 +295,8 @@
     owner.token = owners.size() + 1;
     owner.ledger = MemoryLedger(checks_fence, horizon);
     owners.push_back(std::move(owner));
-    // Where the engine obeys anybody, the former owner stops first and its
-    // orders have arrived (the release, or the confirmed departure).
+    // Where the engine does not check tokens, the former owner stops first and
+    // its orders have arrived (after its release or confirmed departure).
     if (checks_fence) return;
     for (const OnWire& item : wire) engine.TakeOrder(item.order, now);
     wire.clear();
@@ -348,8 +348,8 @@
         const OnWire item = wire[at];
         const uint64_t fate = random.Below(5);
         if (fate != 0) wire.erase(wire.begin() + static_cast<long>(at));
-        if (fate == 1) break;  // Lost. Fate 0 leaves a double on the wire.
-        // No order is on its way for longer than the horizon.
+        if (fate == 1) break;  // Lost. Fate 0 leaves a duplicate on the wire.
+        // No order is in flight for longer than the horizon.
         if (now - item.sent_at >= horizon) break;
         const Inventory inventory = engine.TakeOrder(item.order, now);
         answers.push_back({inventory, item.owner, item.sent_at});
--- a/tests/node/fleet_fixture.h
+++ b/tests/node/fleet_fixture.h
@@ -1,4 +1,4 @@
-// Hosts of a fleet, event by event, under a paused clock.
+// Simulates the hosts of a fleet, event by event, with a paused clock.
 
 #ifndef APPLEHALL_TESTS_NODE_FLEET_FIXTURE_H_
 #define APPLEHALL_TESTS_NODE_FLEET_FIXTURE_H_
@@ -43,14 +43,15 @@
   return server;
 }
 
-// Hosts, the store's lease record and the links between the hosts.
+// Simulates hosts, their links, the engines and the store's lease and
+// quarantine records. Not thread-safe.
 class FleetTest : public testing::Test {
  protected:
   struct Host {
     std::unique_ptr<Node> node;
-    std::vector<Action> done;  // What was asked of it and not carried here.
+    std::vector<Action> done;  // Actions that the fixture does not perform.
     bool is_down = false;
-    bool is_reading = true;  // It follows the store by itself.
+    bool is_reading = true;  // Reads the store itself.
     bool is_cut_from_store = false;
     bool is_cut_from_hosts = false;
   };
@@ -60,7 +61,7 @@
     Teach(name);
   }
 
-  // A process that has read nothing yet.
+  // Starts a host without configuration.
   void Start(const std::string& name, const std::string& centre = "hall") {
     NodeSettings settings;
     settings.self = {name, incarnation_};
@@ -78,7 +79,7 @@
     host.node = std::make_unique<Node>(settings);
   }
 
-  // It reads rules, models and servers.
+  // Delivers the rules, models and servers of the store to a host.
   void Teach(const std::string& name) {
     Handle(name, RuleSetRead{1, *ParseJson(kRules)});
     CatalogueRead catalogue;
@@ -99,7 +100,7 @@
     Handle(name, listed);
   }
 
-  // Nothing passes between these two hosts.
+  // Whether the link between two hosts is cut.
   virtual bool IsCut(const std::string&, const std::string&) const {
     return false;
   }
@@ -147,7 +148,7 @@
       pending_.push_back({name, QuarantineAppendEnded{held->record, true}});
     } else if (const auto* peer = std::get_if<SendPeer>(&action)) {
       const bool is_plan = peer->message.type == PeerMessageType::kFleetPlan;
-      if (is_plan && !is_shared_) ++plans_made_;
+      if (is_plan && !is_sending_shared_plan_) ++plans_made_;
       if (is_plan && is_losing_plans_) return;
       if (!hosts_.contains(peer->host)) return;
       if (host.is_cut_from_hosts || hosts_.at(peer->host).is_cut_from_hosts ||
@@ -158,11 +159,11 @@
           {peer->host, PeerMessageReceived{name, peer->message}});
     } else if (const auto* peers = std::get_if<SendPeers>(&action)) {
       if (peers->message.type == PeerMessageType::kFleetPlan) ++plans_made_;
-      is_shared_ = true;
+      is_sending_shared_plan_ = true;
       for (const PeerAddress& to : peers->peers) {
         Perform(name, SendPeer{to.host, to.address, peers->message});
       }
-      is_shared_ = false;
+      is_sending_shared_plan_ = false;
     } else if (const auto* order = std::get_if<SendOrder>(&action);
                order != nullptr && order->order.kind == OrderKind::kInspect) {
       pending_.push_back({name, EngineAnswered{ReportOf(order->engine), now_}});
@@ -235,25 +236,25 @@
   }
 
   TimePoint now_{std::chrono::hours(500000)};
-  uint64_t incarnation_ = 1;  // Of the hosts that are added.
+  uint64_t incarnation_ = 1;  // Of added hosts.
   bool engines_check_fences_ = true;
   double retry_slack_ = 50;
-  std::map<std::string, double> links_mbps_;  // Zero: not told.
+  std::map<std::string, double> links_mbps_;  // Zero: not reported.
   std::map<std::string, Host> hosts_;
   std::vector<std::pair<std::string, Event>> pending_;
-  uint64_t accepted_orders_ = 0;  // As the engines count them.
-  // What the engines report that they hold.
+  uint64_t accepted_orders_ = 0;  // As reported by each engine.
+  // Models reported by the engines.
   std::map<std::string, std::vector<std::string>> models_at_{
       {"llm-1", {"llm/m0"}}, {"llm-2", {"llm/m0"}}};
   std::optional<LeaseRecord> lease_;
   FencingToken token_ = 0;
   LogOffset end_ = 0;
-  std::map<uint64_t, TimePoint> quarantined_;  // As the store has it.
+  std::map<uint64_t, TimePoint> quarantined_;  // The store's records.
   int quarantine_reads_ = 0;
   int quarantine_appends_ = 0;
-  int plans_made_ = 0;  // Put together and encoded, to however many hosts.
+  int plans_made_ = 0;  // Encoded plans, whatever their number of receivers.
   bool is_losing_plans_ = false;
-  bool is_shared_ = false;
+  bool is_sending_shared_plan_ = false;
 };
 
 }  // namespace applehall
--- a/tests/node/fleet_scale_test.cc
+++ b/tests/node/fleet_scale_test.cc
@@ -1,5 +1,4 @@
-// What the owner of many hosts spends on them, and that they know what they
-// must.
+// Load of the owner of a large fleet, and delivery of its updates to the hosts.
 
 #include <absl/strings/str_cat.h>
 
@@ -10,25 +9,25 @@
 
 class FleetScaleTest : public FleetTest {
  protected:
-  // `count` hosts, evenly in three data centres.
+  // Adds `count` hosts, spread evenly over three data centres.
   void AddMany(int count) {
     for (int i = 0; i < count; ++i) {
       Add(absl::StrCat("h", 100 + i), absl::StrCat("hall-", i % 3));
     }
   }
 
-  std::string AnyBut(const std::string& host) const {
+  std::string OtherHost(const std::string& host) const {
     for (const auto& [name, item] : hosts_) {
       if (name != host) return name;
     }
     return "";
   }
 
-  // `engine` holds just `models` from now on, and reports it to the owner.
+  // Replaces the models of `engine` and reports them to the owner.
   void ReportModels(const std::string& owner, const std::string& engine,
                     const std::vector<std::string>& models) {
     models_at_[engine] = models;
-    accepted_orders_ += 100;  // So the report counts all that was ordered.
+    accepted_orders_ += 100;  // The report is newer than all orders.
     Handle(owner, EngineAnswered{ReportOf(engine), now_});
   }
 
@@ -43,10 +42,9 @@
   }
 };
 
-// The owner of 295 hosts put a plan together for each of them four times a
-// second. It had no processor left to decide what to load, and callers waited
-// seconds for models that a free engine had on its disk.
-TEST_F(FleetScaleTest, PlansOfADataCentreAreMadeOnce) {
+// Guards against one encoded plan per host: with 295 hosts that left the owner
+// no processor time for planning, and loads were delayed by seconds.
+TEST_F(FleetScaleTest, SharedPlanIsEncodedOncePerDataCentre) {
   AddMany(60);
   Run(seconds(4));
   ASSERT_EQ(Holders().size(), 1u);
@@ -55,19 +53,19 @@
     ReportModels(Holders()[0], "llm-1", {i % 2 == 0 ? "llm/m1" : "llm/m0"});
     Run(milliseconds(100));
   }
-  // Three data centres, four times a second.
+  // Three data centres, four plans a second each, for 2 s.
   EXPECT_LE(plans_made_, 2 * 3 * 5);
   EXPECT_GE(plans_made_, 2 * 3 * 2);
 }
 
-// The link to one host is reset just as the owner tells that a model has moved.
-// The host went on without that news until the engine changed once more, and
-// refused callers of a model that was ready.
-TEST_F(FleetScaleTest, LostNewsOfAnEngineAreToldAgain) {
+// A plan with an engine's update is lost in a reset link. Without a resend the
+// host missed the update until the engine changed again, and refused requests
+// for a ready model.
+TEST_F(FleetScaleTest, LostEngineUpdatesAreResent) {
   AddMany(6);
   Run(seconds(4));
   const std::string owner = Holders()[0];
-  const std::string other = AnyBut(owner);
+  const std::string other = OtherHost(owner);
   is_losing_plans_ = true;
   ReportModels(owner, "llm-1", {"llm/m1"});
   Run(milliseconds(600));
@@ -78,10 +76,10 @@
   EXPECT_TRUE(ReadyAt(other, "llm-1").contains("llm/m1"));
 }
 
-// The owner of many hosts came to nothing but planning for 5 s. As it read the
-// store for its own data centre too, hosts there sent work to engines that had
-// said 4 s ago that they leave.
-TEST_F(FleetScaleTest, BusyOwnerReadsForNobody) {
+// Guards against an owner of many hosts that also reads the store for its data
+// centre: 5 s of planning delayed its updates, and hosts there still sent
+// requests to draining engines.
+TEST_F(FleetScaleTest, OwnerOfManyHostsIsNoReader) {
   AddMany(60);
   Run(seconds(4));
   const std::string owner = Holders()[0];
@@ -93,10 +91,10 @@
   }
 }
 
-// The store turns a third of the hosts away, and the owner dies. Those hosts
-// could not read who came after it: for 9 s what their callers waited for was
-// loaded nowhere.
-TEST_F(FleetScaleTest, RefusedHostLearnsOfTheNextOwnerFromItsReader) {
+// The store refuses a host and the owner dies. The host cannot read the lease
+// of the next owner; without its reader's message it did not report its demand
+// for 9 s.
+TEST_F(FleetScaleTest, HostCutFromStoreGetsOwnerFromReader) {
   AddMany(9);
   Run(seconds(4));
   const std::string first = Holders()[0];
--- a/tests/node/fleet_test.cc
+++ b/tests/node/fleet_test.cc
@@ -1,11 +1,11 @@
-// How a fleet of a few hosts places models and answers its callers.
+// Placement and request handling in a fleet of a few hosts.
 
 #include "tests/node/fleet_fixture.h"
 
 namespace applehall {
 namespace {
 
-TEST_F(FleetTest, OneHostTakesTheLeaseAndKeepsIt) {
+TEST_F(FleetTest, OneHostClaimsAndKeepsLease) {
   for (const char* name : {"a", "b", "c"}) Add(name);
   Run(seconds(3));
   ASSERT_EQ(Holders().size(), 1u);
@@ -13,25 +13,25 @@
   EXPECT_EQ(lease_->holder.host, holder);
   Run(seconds(20));
   EXPECT_EQ(Holders(), std::vector<std::string>{holder});
-  EXPECT_EQ(token_, 1u) << "nobody else claimed";
+  EXPECT_EQ(token_, 1u) << "no other host may claim";
 }
 
-// The host that plans dies. Models that nobody has loaded could not be brought
-// until another takes over; its first order waits for the dead one's last to
-// be carried out, or engines would see two hosts by turns.
-TEST_F(FleetTest, AnotherHostTakesOverAndWaitsOutTheLease) {
+// The owner dies. The next one must not send orders before the dead owner's
+// last order has been executed, or engines would execute orders of two owners
+// in turns.
+TEST_F(FleetTest, NewOwnerSendsNoOrderBeforeOrderLeaseEnds) {
   for (const char* name : {"a", "b", "c"}) Add(name);
   Run(seconds(3));
   const std::string first = Holders()[0];
   hosts_.at(first).is_down = true;
-  const TimePoint died = now_;
+  const TimePoint died_at = now_;
   while (Holders().empty()) {
     Run(milliseconds(25));
-    ASSERT_LT(now_ - died, seconds(4));
+    ASSERT_LT(now_ - died_at, seconds(4));
   }
   const std::string second = Holders()[0];
   EXPECT_EQ(token_, 2u);
-  const TimePoint taken = now_;
+  const TimePoint taken_over_at = now_;
   Arrive(second, 1, "/rare/x", "llm/m1");
   // The catalogue name is SERVICE/MODEL; the caller names the model alone.
   Arrive(second, 2, "/rare/x", "m1");
@@ -39,15 +39,13 @@
   EXPECT_TRUE(Done<SendOrder>(second).empty()) << "too early";
   Run(seconds(2));
   EXPECT_FALSE(Done<SendOrder>(second).empty());
-  EXPECT_GE(now_ - taken, seconds(3));
+  EXPECT_GE(now_ - taken_over_at, seconds(3));
 }
 
-// The owner's path to the store hangs for seconds, with an answer to its
-// question about the lease on it. Another host takes over meanwhile and loads.
-// When the path is back, the old answer says that the lease is still held, and
-// the old owner orders once more: engines that check no tokens see two owners
-// by turns.
-TEST_F(FleetTest, AnswerThatWasLongUnderWayRenewsNoTrust) {
+// A store answer that confirms the lease reaches the owner only after another
+// host has taken over. If it renewed the lease, engines that check no tokens
+// would execute orders of two owners.
+TEST_F(FleetTest, DelayedLeaseAnswerDoesNotConfirmLease) {
   engines_check_fences_ = false;
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
@@ -56,16 +54,16 @@
   hosts_.at(first).is_cut_from_store = true;
   hosts_.at(first).is_cut_from_hosts = true;
   Run(seconds(6));
-  ASSERT_EQ(token_, 2u) << "another host has taken over";
+  ASSERT_EQ(token_, 2u) << "another host must have taken over";
   EXPECT_EQ(hosts_.at(first).node->StateDump()["fleet"]["may_order"], false);
   Handle(first, old);
   EXPECT_EQ(hosts_.at(first).node->StateDump()["fleet"]["may_order"], false);
 }
 
-// An order leaves the owner in the last moment of its trust and is held up by a
-// cut. Engines that check no tokens would carry it out after the next owner's
-// orders, so each order says until when it may arrive.
-TEST_F(FleetTest, OrdersArriveWithinTheTrustInTheLease) {
+// An order sent just before the lease's validity ends may be delayed by a
+// partition. Engines that check no tokens would execute it after the next
+// owner's orders, so each order carries an arrival deadline.
+TEST_F(FleetTest, OrderArrivalDeadlineIsWithinLeaseValidity) {
   engines_check_fences_ = false;
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
@@ -86,10 +84,10 @@
   EXPECT_TRUE(Done<SendOrder>(holder).empty());
 }
 
-// The owner alone is cut off from the store. Engines that check no tokens get
-// no orders from a host that cannot prove its lease, but the others heard it
-// and waited: for as long as the cut lasted, 8 s, no model was loaded anywhere.
-TEST_F(FleetTest, OwnerWithoutItsLeaseHandsOver) {
+// Only the owner is cut off from the store. It may send no orders with an
+// unconfirmed lease, but its heartbeats kept others from claiming: no model was
+// loaded while the partition lasted.
+TEST_F(FleetTest, OwnerCutFromStoreHandsOver) {
   engines_check_fences_ = false;
   for (const char* name : {"a", "b", "c"}) Add(name);
   Run(seconds(3));
@@ -100,8 +98,8 @@
   const std::string second = Holders()[0];
   EXPECT_NE(second, first);
   EXPECT_EQ(hosts_.at(second).node->StateDump()["fleet"]["may_order"], true);
-  // The one that gave up reports to the new owner, though it cannot read who
-  // that is, and takes nothing back while it is cut off or soon after.
+  // The former owner reports to the new one, though it cannot read the lease,
+  // and does not claim it back during the partition or soon after.
   Arrive(first, 1, "/rare/x", "m1");
   Run(seconds(1));
   const Json dump = hosts_.at(first).node->StateDump();
@@ -114,9 +112,9 @@
   EXPECT_EQ(token_, 2u);
 }
 
-// The owner is stopped for an update and releases its lease. The others noticed
-// by its silence alone, so for each such stop nothing was loaded for 1.7 s.
-TEST_F(FleetTest, ReleasedLeaseIsTakenWithoutWaitingForSilence) {
+// The owner drains and releases its lease. Other hosts detected this only by
+// the heartbeat timeout, so each drain delayed loads by 1.7 s.
+TEST_F(FleetTest, ReleasedLeaseIsClaimedBeforeHeartbeatTimeout) {
   for (const char* name : {"a", "b", "c"}) Add(name);
   Run(seconds(3));
   const std::string first = Holders()[0];
@@ -126,17 +124,17 @@
   EXPECT_NE(Holders()[0], first);
 }
 
-// The host that reads the store for its data centre is starved of processor for
-// two seconds. An answer of before lies unread; taken in late it was vouched
-// for as fresh, and a follower refused a route that had been added 3.5 s ago.
-TEST_F(FleetTest, AnswerThatLayUnreadIsNotVouchedForAsFresh) {
+// A reader gets no processor time for two seconds, while a store answer stays
+// buffered. Relayed as fresh, it made a follower refuse a route that had been
+// added 3.5 s before.
+TEST_F(FleetTest, BufferedStoreAnswerIsRelayedWithItsAge) {
   Add("a");
   Run(seconds(1));
   Handle("a", StoreReached{});
   PeerMessage follow{PeerMessageType::kStoreFollow, Json{{"p", "b"}, {"t", 0}}};
   Handle("a", PeerMessageReceived{"b", follow});
   now_ += seconds(2);  // No tick.
-  hosts_["b"];         // Takes messages, answers nothing.
+  hosts_["b"];         // Receives messages but does not answer.
   hosts_.at("b").is_down = true;
   pending_.clear();
   Handle("a", StoreReached{});
@@ -151,38 +149,38 @@
   EXPECT_GE(told.message.body["known"]["servers"][1].get<int64_t>(), 1'900'000);
 }
 
-// The owner of engines that check no tokens dies. The next one waits until the
-// last order that the dead one may have sent has arrived or was taken back, and
-// no longer: all that while no model is loaded.
-TEST_F(FleetTest, TakeoverWaitsForTheOrdersOfADeadOwner) {
+// The owner of engines that check no tokens dies. The next one must wait until
+// the dead owner's last order has arrived or expired, but no longer, as no
+// model is loaded meanwhile.
+TEST_F(FleetTest, TakeoverWaitsOutOrdersOfDeadOwner) {
   engines_check_fences_ = false;
   for (const char* name : {"a", "b", "c"}) Add(name);
   Run(seconds(3));
   const std::string first = Holders()[0];
-  const TimePoint died = now_;
+  const TimePoint died_at = now_;
   hosts_.at(first).is_down = true;
   std::string second;
   while (second.empty()) {
     Run(milliseconds(25));
     if (!Holders().empty()) second = Holders()[0];
-    ASSERT_LT(now_ - died, seconds(3));
+    ASSERT_LT(now_ - died_at, seconds(3));
   }
   const auto may_order = [&] {
     return hosts_.at(second).node->StateDump()["fleet"]["may_order"] == true;
   };
-  const TimePoint taken = now_;
+  const TimePoint taken_over_at = now_;
   while (!may_order()) {
     Run(milliseconds(25));
-    ASSERT_LT(now_ - taken, milliseconds(3100));
+    ASSERT_LT(now_ - taken_over_at, milliseconds(3100));
   }
-  // The dead owner's trust, from its last question, and half a second.
-  EXPECT_GE(now_ - taken, milliseconds(2900));
+  // The lease's validity from the dead owner's last read, and half a second.
+  EXPECT_GE(now_ - taken_over_at, milliseconds(2900));
 }
 
-// All hosts lose power. The former owner's host claims its own lease; there is
-// nobody whose orders it would have to wait for, but it waited 3 s all the same
-// while every model that was asked for stayed where it was.
-TEST_F(FleetTest, RestartedOwnerDoesNotWaitForItself) {
+// After a power cut of all hosts the former owner claims its own lease. No
+// orders can be in flight, but it waited 3 s for those of its earlier
+// incarnation.
+TEST_F(FleetTest, RestartedOwnerMayOrderAtOnce) {
   engines_check_fences_ = false;
   Add("a");
   Run(seconds(3));
@@ -196,9 +194,9 @@
   EXPECT_EQ(hosts_.at("a").node->StateDump()["fleet"]["may_order"], true);
 }
 
-// The store is away for all. Nobody could take over, so the owner keeps what it
-// has and goes on as soon as its lease is proven again.
-TEST_F(FleetTest, OwnerKeepsItsLeaseWhereNobodyReachesTheStore) {
+// The store is unavailable to all hosts. None could take over, so the owner
+// keeps its lease and resumes once it is confirmed again.
+TEST_F(FleetTest, OwnerKeepsLeaseDuringStoreOutage) {
   engines_check_fences_ = false;
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
@@ -214,14 +212,14 @@
   EXPECT_EQ(token_, 1u);
 }
 
-// A host that holds the lease is frozen and wakes after another took over. It
-// still believes that it may order; engines that do not check tokens would
-// obey both.
-TEST_F(FleetTest, WokenHolderReadsTheLeaseBeforeItOrders) {
+// The holder is paused and resumes after another host took over. Its state
+// still allows orders; engines that check no tokens would execute those of both
+// hosts.
+TEST_F(FleetTest, ResumedHolderReadsLeaseBeforeOrdering) {
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
   const std::string first = Holders()[0];
-  hosts_.at(first).is_down = true;  // Frozen.
+  hosts_.at(first).is_down = true;  // Paused.
   Run(seconds(5));
   hosts_.at(first).is_down = false;
   hosts_.at(first).done.clear();
@@ -234,9 +232,9 @@
   EXPECT_NE(Holders()[0], first);
 }
 
-// Calls to the store are paid for and limited; with every host asking it for
-// itself they grow with the fleet.
-TEST_F(FleetTest, OneHostOfEachDataCentreReadsTheStore) {
+// Store calls are billed and limited. If every host read the store, their
+// number would grow with the fleet.
+TEST_F(FleetTest, OneHostPerDataCentreReadsStore) {
   for (const char* name : {"a", "b", "c"}) Add(name, "hall");
   for (const char* name : {"d", "e", "f"}) Add(name, "quay");
   const auto read_all = [&] {
@@ -262,8 +260,8 @@
     Run(milliseconds(200));
   }
   ASSERT_EQ(readers().size(), 2u);
-  // The reader of the other data centre loses the store, and the one after it
-  // dies: another one takes its place each time.
+  // The reader of the other data centre loses the store, and its successor
+  // dies; another host replaces it each time.
   const std::string owner = Holders()[0];
   const auto other_reader = [&] {
     return readers()[0] == owner ? readers()[1] : readers()[0];
@@ -284,12 +282,10 @@
   EXPECT_EQ(readers().size(), 2u);
 }
 
-// A data centre is cut off while its engines are said to be full. Its hosts
-// hear no more of the placement owner; going by the last loads they heard of,
-// they would refuse every request for as long as the cut lasts.
-// Guards against a reader with a narrow link that a new owner names as it has
-// heard few hosts: news of a storm of changes queue there for seconds.
-TEST_F(FleetTest, NewOwnerNamesNoNarrowReaderBeforeItHasHeardTheFleet) {
+// Guards against a new owner that assigns a reader with a narrow link because
+// few hosts have reported yet: bursts of updates queue on that link for
+// seconds.
+TEST_F(FleetTest, NewOwnerAssignsNoNarrowLinkReaderBeforeReports) {
   Add("owner", "quay");
   Run(seconds(3));
   ASSERT_EQ(Holders(), std::vector<std::string>{"owner"});
@@ -302,33 +298,35 @@
   Add("wide");
   Run(seconds(4));
   std::set<std::string> named;
-  const auto note = [&] {
+  const auto record_readers = [&] {
     for (const auto& [name, host] : hosts_) {
       if (host.is_down) continue;
       named.insert(host.node->StateDump()["store_relay"]["reader"]);
     }
   };
-  note();
+  record_readers();
   EXPECT_TRUE(named.contains("wide"));
   hosts_.at("owner").is_down = true;
-  // The one with the wide link is the last that the new owner hears.
+  // The new owner receives the report of the host with the wide link last.
   hosts_.at("wide").is_cut_from_hosts = true;
   while (Holders().empty()) Run(milliseconds(25));
   for (int i = 0; i < 20; ++i) {
     Run(milliseconds(25));
-    note();
+    record_readers();
   }
   hosts_.at("wide").is_cut_from_hosts = false;
   for (int i = 0; i < 80; ++i) {
     Run(milliseconds(25));
-    note();
+    record_readers();
   }
   for (const std::string& name : named) {
     EXPECT_FALSE(name.starts_with("narrow")) << name;
   }
 }
 
-TEST_F(FleetTest, LoadsOfAnOwnerThatIsNotHeardAreForgotten) {
+// A data centre is partitioned while its engines are reported as full. Going by
+// the owner's last loads, its hosts would refuse all requests until it heals.
+TEST_F(FleetTest, LoadsExpireWithoutOwnerContact) {
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
   const std::string owner = Holders()[0];
@@ -348,10 +346,9 @@
   EXPECT_FALSE(Done<DispatchRequest>(other).empty());
 }
 
-// An engine dies amid a stream while all others run as much as they can. The
-// stream's caller has part of it and leaves after the next pause, so it does
-// not wait for a free place as new requests do.
-TEST_F(FleetTest, BrokenStreamGoesOnAtFullEngines) {
+// An engine dies during a stream while all others are at capacity. The caller
+// cancels after the next gap, so the stream must not queue as new requests do.
+TEST_F(FleetTest, BrokenStreamResumesAtFullEngine) {
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
   const std::string owner = Holders()[0];
@@ -376,14 +373,15 @@
   Arrive(other, 2, "/rare/x", "m0");
   Run(milliseconds(200));
   const std::vector<DispatchRequest> sent = Done<DispatchRequest>(other);
-  ASSERT_EQ(sent.size(), 1u) << "the stream, and not the new request";
+  ASSERT_EQ(sent.size(), 1u)
+      << "only the stream may be sent, not the new request";
   EXPECT_EQ(sent[0].handle, 1u);
   EXPECT_TRUE(sent[0].resume);
 }
 
-// The holder is cut off from the store, as one host in a data centre may be.
-// It is heard by the others, and goes on.
-TEST_F(FleetTest, HolderWithoutStoreGoesOn) {
+// The holder is cut off from the store only. Its heartbeats reach the others,
+// so it keeps the lease where engines check tokens.
+TEST_F(FleetTest, HolderCutFromStoreKeepsLease) {
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
   const std::string holder = Holders()[0];
@@ -393,11 +391,9 @@
   EXPECT_EQ(token_, 1u);
 }
 
-// A host, or a whole data centre, is cut off for some seconds and comes back.
-// It has heard nothing of the owner meanwhile and took the lease from it at
-// once, though the owner had served all others: nothing was loaded anywhere for
-// the time of a takeover, after each cut that healed.
-TEST_F(FleetTest, HostThatWasCutOffHearsTheOwnerBeforeItClaims) {
+// Hosts rejoin after a partition. Without heartbeats during it they claimed the
+// lease of a live owner at once, and loads stopped for the time of a takeover.
+TEST_F(FleetTest, RejoiningHostAwaitsHeartbeatBeforeClaim) {
   for (const char* name : {"a", "b", "c"}) Add(name);
   Run(seconds(3));
   const std::string holder = Holders()[0];
@@ -416,17 +412,17 @@
     host.is_cut_from_store = false;
     Handle(name, StoreReached{});
   }
-  // The links between hosts are opened again a moment later.
+  // The links between hosts are restored a moment later.
   Run(milliseconds(750));
   for (auto& [name, host] : hosts_) host.is_cut_from_hosts = false;
   Run(seconds(5));
   EXPECT_EQ(Holders(), std::vector<std::string>{holder});
-  EXPECT_EQ(token_, 1u) << "nobody else claimed";
+  EXPECT_EQ(token_, 1u) << "no other host may claim";
 }
 
-// While the store is away, listings of live servers lapse with it. Without
-// them every request was refused for two seconds after each outage.
-TEST_F(FleetTest, ServersThatLapseWithTheStoreStayForAWhile) {
+// Listings of live servers lapse during an outage of the store. Removing those
+// servers refused all requests for two seconds after each outage.
+TEST_F(FleetTest, ListingsLapsedInOutageAreKeptForAWhile) {
   Add("a");
   Run(seconds(2));
   Handle("a", LogFailed{});
@@ -437,7 +433,7 @@
   Arrive("a", 1, "/once/x");
   EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
   Handle("a", StoreReached{});
-  Run(seconds(3));  // Not listed again: gone.
+  Run(seconds(3));  // Not listed again.
   hosts_.at("a").done.clear();
   Arrive("a", 2, "/once/x");
   EXPECT_TRUE(Done<DispatchRequest>("a").empty());
@@ -445,10 +441,9 @@
   EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
 }
 
-// A server leaves two seconds after the store came back. Taken for one that
-// lapsed with the store it was kept for two seconds more, and got work it was
-// to be spared.
-TEST_F(FleetTest, ServerThatLeavesSoonAfterAnOutageIsLeftInTime) {
+// A server leaves two seconds after an outage of the store. Treated as a lapsed
+// listing, it was kept for two more seconds and received requests.
+TEST_F(FleetTest, ServerLeavingSoonAfterOutageIsRemovedInTime) {
   Add("a");
   Run(seconds(2));
   Handle("a", LogFailed{});
@@ -463,8 +458,8 @@
   EXPECT_TRUE(Done<DispatchRequest>("a").empty());
 }
 
-// Away from an outage, a server that is not listed gets nothing more at once.
-TEST_F(FleetTest, ServersThatAreTakenOffTheListAreLeftAtOnce) {
+// Without an outage, unlisted and leaving servers get no requests from then on.
+TEST_F(FleetTest, UnlistedAndLeavingServersGetNoRequests) {
   Add("a");
   Run(seconds(2));
   Handle("a", StoreReached{});
@@ -478,10 +473,10 @@
   EXPECT_TRUE(Done<DispatchRequest>("a").empty());
 }
 
-// An engine crashes and starts again under its id, empty. Requests went on to
-// it for the model of its earlier life, and its requests of then counted
-// against it.
-TEST_F(FleetTest, ServerThatStartsAgainHoldsNothingOfBefore) {
+// An engine restarts under its id without models. It still received requests
+// for the models of its earlier incarnation, whose requests counted as its
+// load.
+TEST_F(FleetTest, RestartedServerHasNoEarlierState) {
   Add("a");
   const auto list = [&](TimePoint started_at, const std::string& model) {
     ServersListed listed;
@@ -500,15 +495,14 @@
   EXPECT_EQ(engine["in_flight_here"], 0);
   Arrive("a", 2, "/rare/x", "m0");
   EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
-  // Older news arrive later.
+  // The older entry arrives late.
   list(now_, "m0");
   EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
 }
 
-// A writer of another version, or a fault, overwrites a server's entry with one
-// that cannot be read. The server was used on by what the entry said before;
-// the others must not be touched by it.
-TEST_F(FleetTest, ServerWithAnUnusableEntryGetsNothing) {
+// A server's entry is overwritten with an unreadable one. The host kept using
+// the previous entry; it must remove that server and no other.
+TEST_F(FleetTest, ServerWithUnusableEntryGetsNoRequests) {
   Add("a");
   ServersListed damaged;
   damaged.unusable = {"app-1", "never-seen"};
@@ -523,9 +517,9 @@
   }
 }
 
-// A payment is sent and its connection breaks. Sent once more, the caller might
-// pay twice; "not run" would be a lie.
-TEST_F(FleetTest, RequestThatMayNotBeRepeatedIsSentOnce) {
+// The connection breaks after a non-repeatable request was sent. A retry could
+// run it twice, and the verdict "not run" could be wrong.
+TEST_F(FleetTest, NonRepeatableRequestIsNotRetried) {
   Add("a");
   Run(seconds(2));
   Arrive("a", 1, "/once/x");
@@ -542,7 +536,7 @@
   EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.verdict, Verdict::kMayHaveRun);
 }
 
-TEST_F(FleetTest, RepeatableRequestGoesToAnotherServerOnce) {
+TEST_F(FleetTest, RepeatableRequestIsRetriedOnceElsewhere) {
   Add("a");
   Run(seconds(2));
   Arrive("a", 1, "/again/x");
@@ -559,11 +553,11 @@
   EXPECT_FALSE(sent[1].has_retries);
 }
 
-// A server crashes: connections to it are refused at once. Its requests were
-// sent nowhere, but each further try drew on the budget that keeps retries from
-// multiplying the load, and most of them were refused beside idle servers.
-TEST_F(FleetTest, RequestsThatReachedNoServerSpendNoBudget) {
-  retry_slack_ = 1;  // For all hosts of the fleet; this is the only one.
+// A crashed server refuses connections, so its requests were never sent.
+// Charging their retries to the retry budget refused most of them despite idle
+// servers.
+TEST_F(FleetTest, UnsentAttemptsSpendNoRetryBudget) {
+  retry_slack_ = 1;  // Shared by all hosts of the fleet; this is the only one.
   Add("a");
   Run(seconds(2));
   int failures = 0;
@@ -582,10 +576,9 @@
   EXPECT_TRUE(Done<RefuseRequest>("a").empty());
 }
 
-// A request arrives as its model is being unloaded and is turned away. Loaded
-// again on the same engine, the model waited for it and it for another engine,
-// until its deadline.
-TEST_F(FleetTest, RequestReturnsToTheEngineThatTurnedItAway) {
+// An engine rejects a request while it unloads the model, and then loads it
+// again. The request waited for another engine until its deadline.
+TEST_F(FleetTest, RejectedRequestMayReturnToSameEngine) {
   Add("a");
   Run(seconds(2));
   ServersListed gone;
@@ -604,10 +597,10 @@
   EXPECT_EQ(sent[1].backend, "llm-1");
 }
 
-// A caller of a stream leaves after two seconds without a first event, long
-// before its deadline. Its model will not be there by then: told so at once, it
-// can come back; held, it gets no answer at all.
-TEST_F(FleetTest, CallerIsToldWhenItsModelCannotComeInTime) {
+// A caller waits two seconds for the first event of a stream, less than the
+// load of its model takes. Refused early, it can retry; queued, it would get no
+// answer.
+TEST_F(FleetTest, RequestIsRefusedEarlyIfModelCannotLoadInTime) {
   Add("a");
   Run(seconds(2));
   Json rules = *ParseJson(kRules);
@@ -624,23 +617,23 @@
   EXPECT_GE(refusal.retry_after, seconds(1));
 }
 
-// Engines that run eight requests at once for a second each and let the rest
-// wait in their order of arrival, and callers that leave a stream after four
-// times the latency they hope for.
+// Simulates engines that run eight requests at a time for a second each and
+// queue the rest in order of arrival, and callers that cancel after four times
+// the target latency.
 class FleetLoadTest : public FleetTest {
  protected:
-  static constexpr Duration kHopedFor = milliseconds(600);
-  static constexpr Duration kPatience = milliseconds(2400);
+  static constexpr Duration kTargetLatency = milliseconds(600);
+  static constexpr Duration kMaxWait = milliseconds(2400);
   static constexpr size_t kSlots = 8;
 
-  struct Work {
+  struct EngineRequest {
     std::string host;
     DispatchRequest sent;
     TimePoint ends;
     bool is_running = false;
   };
 
-  void Offer(const std::string& host) {
+  void Send(const std::string& host) {
     const RequestHandle handle = ++last_handle_;
     arrived_[handle] = {host, now_};
     Arrive(host, handle, "/hot/x", "m0");
@@ -653,83 +646,83 @@
         if (auto* sent = std::get_if<DispatchRequest>(&action)) {
           engines_[sent->backend].push_back({name, *sent, {}, false});
         } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-          Stop(cancel->handle);
+          RemoveFromEngines(cancel->handle);
         } else if (const auto* refuse = std::get_if<RefuseRequest>(&action)) {
           ++refused_;
           EXPECT_EQ(refuse->refusal.verdict, Verdict::kNotRun);
           EXPECT_GT(refuse->refusal.retry_after, Duration{0});
-          EXPECT_LE(now_ - arrived_[refuse->handle].second, kHopedFor * 3 / 2);
+          EXPECT_LE(now_ - arrived_[refuse->handle].second,
+                    kTargetLatency * 3 / 2);
           arrived_.erase(refuse->handle);
         }
       }
       host.done.clear();
     }
-    LeaveImpatient();
-    for (auto& [id, works] : engines_) Serve(works);
+    CancelOverdueRequests();
+    for (auto& [id, requests] : engines_) RunEngine(requests);
   }
 
-  void Stop(RequestHandle handle) {
-    for (auto& [id, works] : engines_) {
-      std::erase_if(works, [handle](const Work& work) {
-        return work.sent.handle == handle;
+  void RemoveFromEngines(RequestHandle handle) {
+    for (auto& [id, requests] : engines_) {
+      std::erase_if(requests, [handle](const EngineRequest& request) {
+        return request.sent.handle == handle;
       });
     }
   }
 
-  void LeaveImpatient() {
-    std::vector<RequestHandle> leaving;
+  void CancelOverdueRequests() {
+    std::vector<RequestHandle> overdue;
     for (const auto& [handle, arrival] : arrived_) {
-      if (now_ - arrival.second > kPatience && !begun_.contains(handle)) {
-        leaving.push_back(handle);
+      if (now_ - arrival.second > kMaxWait && !started_.contains(handle)) {
+        overdue.push_back(handle);
       }
     }
-    for (const RequestHandle handle : leaving) {
-      ++left_;
-      Stop(handle);
+    for (const RequestHandle handle : overdue) {
+      ++cancelled_;
+      RemoveFromEngines(handle);
       Handle(arrived_[handle].first, CallerGone{handle});
       arrived_.erase(handle);
     }
   }
 
-  void Serve(std::vector<Work>& works) {
-    for (size_t i = 0; i < std::min(kSlots, works.size()); ++i) {
-      if (works[i].is_running) continue;
-      works[i].is_running = true;
-      works[i].ends = now_ + seconds(1);
-      const RequestHandle handle = works[i].sent.handle;
-      begun_.insert(handle);
-      if (now_ - arrived_[handle].second <= kHopedFor) ++in_time_;
+  void RunEngine(std::vector<EngineRequest>& requests) {
+    for (size_t i = 0; i < std::min(kSlots, requests.size()); ++i) {
+      if (requests[i].is_running) continue;
+      requests[i].is_running = true;
+      requests[i].ends = now_ + seconds(1);
+      const RequestHandle handle = requests[i].sent.handle;
+      started_.insert(handle);
+      if (now_ - arrived_[handle].second <= kTargetLatency) ++in_time_;
     }
-    std::vector<Work> ended;
-    std::erase_if(works, [&](const Work& work) {
-      if (!work.is_running || work.ends > now_) return false;
-      ended.push_back(work);
+    std::vector<EngineRequest> ended;
+    std::erase_if(requests, [&](const EngineRequest& request) {
+      if (!request.is_running || request.ends > now_) return false;
+      ended.push_back(request);
       return true;
     });
-    for (const Work& work : ended) {
+    for (const EngineRequest& request : ended) {
       AttemptEnded end;
-      end.handle = work.sent.handle;
-      end.attempt = work.sent.attempt;
+      end.handle = request.sent.handle;
+      end.attempt = request.sent.attempt;
       end.result = AttemptResult::kCompleted;
-      arrived_.erase(work.sent.handle);
-      Handle(work.host, end);
+      arrived_.erase(request.sent.handle);
+      Handle(request.host, end);
     }
   }
 
-  std::map<std::string, std::vector<Work>> engines_;
+  std::map<std::string, std::vector<EngineRequest>> engines_;
   std::map<RequestHandle, std::pair<std::string, TimePoint>> arrived_;
-  std::set<RequestHandle> begun_;
+  std::set<RequestHandle> started_;
   RequestHandle last_handle_ = 0;
   int in_time_ = 0;
   int refused_ = 0;
-  int left_ = 0;
+  int cancelled_ = 0;
 };
 
-// A model becomes popular: three times as many requests as its two engines can
-// run, over twelve hosts. Each host has a request or two at each engine and
-// sends on; the engines' queues grow until callers leave before their turn, and
-// the engines work for nobody. The engines run 16 requests a second.
-TEST_F(FleetLoadTest, PopularModelIsServedAtItsCapacity) {
+// Twelve hosts receive three times as many requests for a model as its two
+// engines can run (16 a second). If each host sends all of its few requests,
+// the engines' queues grow until callers cancel before their requests start.
+TEST_F(FleetLoadTest, OverloadedModelIsServedAtCapacity) {
   for (const char* name :
        {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}) {
     Add(name);
@@ -744,23 +737,23 @@
   for (const auto& [name, host] : hosts_) Handle(name, RuleSetRead{9, rules});
   Run(seconds(3));
   constexpr int kSeconds = 20;
-  constexpr int kSettled = 5;
+  constexpr int kWarmupSeconds = 5;
   for (int step = 0; step < kSeconds * 40; ++step) {
     const auto at = std::next(hosts_.begin(), step % 12);
-    Offer(at->first);
-    if (step % 5 == 0) Offer(std::next(hosts_.begin(), (step / 5) % 12)->first);
+    Send(at->first);
+    if (step % 5 == 0) Send(std::next(hosts_.begin(), (step / 5) % 12)->first);
     Step();
-    if (step == kSettled * 40) in_time_ = left_ = 0;
+    if (step == kWarmupSeconds * 40) in_time_ = cancelled_ = 0;
   }
-  EXPECT_GT(in_time_, (kSeconds - kSettled) * 16 / 2)
-      << "half of what the engines can run at best";
+  EXPECT_GT(in_time_, (kSeconds - kWarmupSeconds) * 16 / 2)
+      << "at least half of the engines' capacity";
   EXPECT_GT(refused_, 0);
-  EXPECT_LT(left_, 10) << "who cannot be served is told so";
+  EXPECT_LT(cancelled_, 10) << "requests that cannot be served must be refused";
 }
 
-// An engine dies amid a stream that may be resumed. The caller has part of it;
-// another engine goes on after the last event, in the same answer.
-TEST_F(FleetTest, BrokenStreamGoesOnAtAnotherEngine) {
+// An engine dies during a resumable stream. Another engine must continue it
+// after the last event, in the same response.
+TEST_F(FleetTest, BrokenStreamResumesAtAnotherEngine) {
   Add("a");
   Run(seconds(2));
   Arrive("a", 1, "/stream/x", "m0");
@@ -779,9 +772,9 @@
   EXPECT_TRUE(sent[1].resume);
 }
 
-// A host is stopped while a request waits for a model. Killed with it open, its
-// caller would not know whether it ran.
-TEST_F(FleetTest, DrainAnswersWhatItCannotServe) {
+// A host is stopped while a request waits for a model. Without an answer, the
+// caller would not know whether the request ran.
+TEST_F(FleetTest, DrainRefusesRequestsItCannotServe) {
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
   Arrive("a", 1, "/rare/x", "m1");
@@ -793,9 +786,8 @@
   EXPECT_EQ(Done<Drained>("a").size(), 1u);
 }
 
-// The lease of a host that is stopped in order passes on without the wait for
-// its silence.
-TEST_F(FleetTest, StoppedHolderReleasesTheLease) {
+// The lease of a draining host must pass on without the heartbeat timeout.
+TEST_F(FleetTest, DrainingHolderReleasesLease) {
   for (const char* name : {"a", "b"}) Add(name);
   Run(seconds(3));
   const std::string holder = Holders()[0];
@@ -808,8 +800,8 @@
   EXPECT_NE(Holders()[0], holder);
 }
 
-// Rule sets of the platform are numbered; one that arrives late, from a reader
-// that was paused, must not bring an older one back into force.
+// Rule sets of the platform's store have versions. One that arrives late, from
+// a reader that was paused, must not replace a newer one.
 TEST_F(FleetTest, OlderRuleSetsAreIgnored) {
   Add("a");
   Run(seconds(1));
@@ -823,9 +815,9 @@
             RefusalReason::kRefusedByRule);
 }
 
-// Guards against callers of a route that was added meanwhile, and of a key, who
-// are turned away for good by a host that cannot know of it.
-TEST_F(FleetTest, HostThatIsCutOffRefusesNothingForGood) {
+// Guards against final refusals of a route or key that was added while the host
+// was cut off from the store.
+TEST_F(FleetTest, StaleRulesRefuseUnknownRouteForRetry) {
   Add("a");
   Run(seconds(1));
   Arrive("a", 1, "/unknown");
@@ -840,7 +832,7 @@
   EXPECT_EQ(refusal.reason, RefusalReason::kRulesMayBeOld);
   EXPECT_EQ(refusal.verdict, Verdict::kNotRun);
   EXPECT_GT(refusal.retry_after, Duration{0});
-  // What it knows for sure it serves.
+  // Requests that match a rule are still served.
   Arrive("a", 3, "/once/x");
   EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
   hosts_.at("a").is_cut_from_store = false;
@@ -851,7 +843,7 @@
             RefusalReason::kRefusedByRule);
 }
 
-TEST_F(FleetTest, MalformedRuleSetLeavesTheLastInForce) {
+TEST_F(FleetTest, MalformedRuleSetLeavesPreviousInForce) {
   Add("a");
   Run(seconds(1));
   Handle("a", RuleSetRead{5, Json{{"rules", 3}}});
