--- a/node/gossip.cc
+++ b/node/gossip.cc
@@ -8,8 +8,7 @@
 namespace {
 
 constexpr size_t kControlReaders = 2;
-// A control state that no peer has confirmed for this long is read from the
-// log.
+// A control state not confirmed for this long is read from the log.
 constexpr Duration kMaxStateAge = std::chrono::seconds(2);
 constexpr Duration kSummaryInterval = std::chrono::seconds(1);
 constexpr Duration kSummaryRefresh = std::chrono::seconds(10);
