--- a/claims/claim_fold.h
+++ b/claims/claim_fold.h
@@ -34,7 +34,7 @@
 
 struct ClaimWindow {
   // A key older than this is refused, so it need not be stored longer.
-  Duration kept = std::chrono::minutes(30);
+  Duration retention = std::chrono::minutes(30);
   // Maximum skew between the clocks of callers, hosts and the log service.
   Duration clock_skew = std::chrono::seconds(5);
 };
@@ -64,7 +64,7 @@
     kRan,
     kMayHaveRun,
     kTooOld,
-    kIssuedAhead,
+    kIssuedInFuture,
   };
   // Returns the status of a key issued at `issued_at`. Not thread-safe.
   KeyStatus Lookup(const std::string& key, TimePoint issued_at,
--- a/claims/claim_guard.h
+++ b/claims/claim_guard.h
@@ -34,12 +34,12 @@
   // contain it.
   ClaimGuard(Incarnation self, ClaimSettings settings);
 
-  enum class Standing : uint8_t {
+  enum class BeginResult : uint8_t {
     kPending,  // TakeGranted() or TakeRefused() returns the result later.
     kDuplicate,
     kKeyMalformed,
     kKeyTooOld,
-    kKeyAhead,
+    kKeyInFuture,
     kNotReady,  // The claims stream has not been read yet.
   };
   struct ClaimResult {
@@ -48,7 +48,8 @@
   };
 
   // Starts a claim for `key`, a version 7 UUID. Not thread-safe.
-  Standing Begin(RequestHandle handle, const std::string& key, TimePoint now);
+  BeginResult Begin(RequestHandle handle, const std::string& key,
+                    TimePoint now);
   // Releases the claim of a request that was cancelled before it was sent,
   // whether the claim is unwritten, pending or granted. Not thread-safe.
   void Abandon(RequestHandle handle, TimePoint now);
@@ -58,7 +59,7 @@
   void Apply(const LogBatch& batch, TimePoint now);
   // Schedules another append after one that failed or whose result is unknown.
   // Not thread-safe.
-  void AppendFailed(const std::string& record_id, TimePoint now);
+  void HandleAppendFailure(const std::string& record_id, TimePoint now);
 
   // Returns the record to append now, if one is due. Not thread-safe.
   std::optional<Json> NextRecord(TimePoint now);
--- a/main/daemon_settings.cc
+++ b/main/daemon_settings.cc
@@ -73,7 +73,7 @@
       "gossip_interval_ms", milliseconds(500), milliseconds(10), minutes(1));
   node.claims.linger = reader.MillisOr("claim_linger_ms", milliseconds(5),
                                        milliseconds(0), seconds(10));
-  node.claims.window.kept =
+  node.claims.window.retention =
       reader.MillisOr("key_window_ms", minutes(30), seconds(1), hours(24));
   node.claims.window.clock_skew = reader.MillisOr("clock_skew_ms", seconds(5),
                                                   milliseconds(0), minutes(10));
--- a/node/control_fold.cc
+++ b/node/control_fold.cc
@@ -62,7 +62,7 @@
     // Records expired before this host read them: it started late or was
     // paused for longer than the retention. Their effect is unknown, so later
     // records cannot be applied. The current state stays in force.
-    is_based_ = false;
+    has_base_ = false;
     pending_.clear();
     pending_from_ = batch.first_offset;
     next_offset_ = batch.first_offset;
@@ -82,7 +82,7 @@
   const bool is_snapshot = FieldOr<std::string>(*body, "type", "") == kSnapshot;
   if (is_snapshot) last_snapshot_at_ = record.time;
   if (first_record_at_ == TimePoint{}) first_record_at_ = record.time;
-  if (is_based_) {
+  if (has_base_) {
     ApplyRecord(record, *body);
     return;
   }
@@ -142,7 +142,7 @@
 
 bool ControlFold::Install(const Json& snapshot) {
   const LogOffset covered_offset = FieldOr<uint64_t>(snapshot, "as_of", 0);
-  const bool covers_pending = !is_based_ && covered_offset >= pending_from_;
+  const bool covers_pending = !has_base_ && covered_offset >= pending_from_;
   const bool is_ahead = covered_offset > next_offset_;
   // A snapshot that ends before the first buffered record leaves a gap of
   // records whose effect is unknown. A writer that was paused appends such
@@ -157,7 +157,7 @@
       snapshot.contains("groups") ? snapshot["groups"] : Json::object());
   quarantine_ = Quarantine::FromJson(
       snapshot.contains("quarantine") ? snapshot["quarantine"] : Json::array());
-  is_based_ = true;
+  has_base_ = true;
   std::deque<LogRecord> pending = std::move(pending_);
   pending_.clear();
   if (is_ahead) {
--- a/node/control_fold.h
+++ b/node/control_fold.h
@@ -61,7 +61,7 @@
   }
 
   // Returns the whole state, for a snapshot record or a peer. Requires:
-  // is_based(). Not thread-safe.
+  // has_base(). Not thread-safe.
   Json Snapshot() const;
   // Returns the records from `offset` on for a peer that lags a little; nullopt
   // if this host no longer has all of them. Not thread-safe.
@@ -70,7 +70,7 @@
   // Offset at which the next read must start. Not thread-safe.
   LogOffset next_offset() const { return next_offset_; }
   // False while compare-and-set records are buffered for want of a snapshot.
-  bool is_based() const { return is_based_; }
+  bool has_base() const { return has_base_; }
   const RuleBook& rules() const { return rules_; }
   const OwnershipTable& ownership() const { return ownership_; }
   // Poison messages: contents of requests that end servers. Empty where the
@@ -99,7 +99,7 @@
   CrashLedger crashes_;
   Quarantine quarantine_;
   LogOffset next_offset_ = 1;
-  bool is_based_ = true;
+  bool has_base_ = true;
   LogOffset pending_from_ = 1;
   std::deque<LogRecord> pending_;  // Buffered until a snapshot covers them.
   std::deque<LogRecord> recent_;
--- a/node/fleet_keeper.cc
+++ b/node/fleet_manager.cc
@@ -1,11 +1,10 @@
-#include "node/fleet_keeper.h"
-
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
 
 #include "core/event_log.h"
 #include "core/hash.h"
+#include "node/fleet_manager.h"
 
 namespace applehall {
 namespace {
@@ -59,7 +58,7 @@
 
 }  // namespace
 
-bool FleetKeeper::OffersService(const std::string& service) const {
+bool FleetManager::OffersService(const std::string& service) const {
   return std::any_of(servers_.begin(), servers_.end(), [&](const auto& item) {
     return item.second.service == service;
   });
@@ -67,7 +66,7 @@
 
 // ---- Listing ----
 
-void FleetKeeper::TakeServers(const ServersListed& event) {
+void FleetManager::HandleServerList(const ServersListed& event) {
   if (servers_.empty() && !event.listed.empty()) lease_.RecordFirstListing();
   std::vector<std::string> gone = event.gone;
   if (event.is_whole) {
@@ -119,7 +118,7 @@
 // A server that restarted under its id holds no models and runs no requests.
 // Its previous state is removed first, or the request counts, failures and
 // models of its earlier incarnation would be taken for those of the new one.
-bool FleetKeeper::AcceptIncarnation(const ListedServer& server) {
+bool FleetManager::AcceptIncarnation(const ListedServer& server) {
   const auto known = servers_.find(server.id);
   if (known == servers_.end()) return true;
   const TimePoint previous_start = known->second.started_at;
@@ -132,7 +131,7 @@
   return true;
 }
 
-void FleetKeeper::RemoveDeparted() {
+void FleetManager::RemoveDeparted() {
   // Counted from the end of the outage, not from the lapse: a server that
   // leaves in the two seconds after it must be removed as fast as at any other
   // time.
@@ -146,7 +145,7 @@
   if (planner_) planner_->SetServers(servers_, context_.now);
 }
 
-void FleetKeeper::RemoveServer(const std::string& id) {
+void FleetManager::RemoveServer(const std::string& id) {
   servers_.erase(id);
   departing_.erase(id);
   announced_.erase(id);
@@ -156,7 +155,7 @@
   LogEvent(LogLevel::kInfo, "server_gone").With("server", id);
 }
 
-void FleetKeeper::UpdateView(const std::string& id) {
+void FleetManager::UpdateView(const std::string& id) {
   const auto it = servers_.find(id);
   if (it == servers_.end()) return;
   const ListedServer& server = it->second;
@@ -185,17 +184,17 @@
   context_.view.SetLeaving(id, server.is_leaving);
 }
 
-void FleetKeeper::CatalogueChanged() {
+void FleetManager::HandleCatalogueChange() {
   if (!planner_) return;
   planner_->SetCatalogue(&context_.catalogue, &context_.engine_classes);
 }
 
-void FleetKeeper::TakeInventory(const Inventory& inventory,
-                                TimePoint asked_at) {
+void FleetManager::TakeInventory(const Inventory& inventory,
+                                 TimePoint asked_at) {
   if (planner_) planner_->TakeInventory(inventory, asked_at, context_.now);
 }
 
-void FleetKeeper::TakeOrderResult(const OrderAnswered& event) {
+void FleetManager::TakeOrderResult(const OrderAnswered& event) {
   if (!planner_) return;
   planner_->TakeOrderResult(event.engine, event.order_id, event.result,
                             context_.now);
@@ -204,18 +203,18 @@
 
 // ---- Lease ----
 
-void FleetKeeper::TakeLease(const LeaseRead& event) {
+void FleetManager::HandleLeaseRead(const LeaseRead& event) {
   const PlacementLease::Change change = lease_.HandleRead(event);
   if (change == PlacementLease::Change::kNone) return;
   StopPlanning();
   if (change == PlacementLease::Change::kGained) StartPlanning();
 }
 
-void FleetKeeper::TakeAppendEnd(const LeaseAppendEnded&) {
+void FleetManager::TakeAppendEnd(const LeaseAppendEnded&) {
   lease_.HandleAppendEnded();
 }
 
-void FleetKeeper::StartPlanning() {
+void FleetManager::StartPlanning() {
   planner_ = std::make_unique<FleetPlanner>(
       context_.settings.self, lease_.token(), context_.settings.policies);
   planner_->SetCatalogue(&context_.catalogue, &context_.engine_classes);
@@ -238,14 +237,14 @@
   resigned_owner_ = {};
 }
 
-void FleetKeeper::StopPlanning() {
+void FleetManager::StopPlanning() {
   planner_.reset();
   quotas_.StopPlanning();
   limits_.StopPlanning();
   peers_.clear();
 }
 
-bool FleetKeeper::IsHandingOver() const {
+bool FleetManager::IsHandingOver() const {
   const bool may_give_up = context_.settings.policies.Has(Policy::kHandOver);
   if (!may_give_up || !lease_.IsUnconfirmed()) return false;
   return std::any_of(peers_.begin(), peers_.end(), [this](const auto& item) {
@@ -256,7 +255,7 @@
 
 // Gives up the lease when this host drains or can no longer confirm it, once no
 // order is pending.
-void FleetKeeper::HandOver() {
+void FleetManager::HandOver() {
   if (!planner_ || !planner_->IsQuiet()) return;
   if (context_.is_draining) {
     AnnounceResignation();
@@ -276,7 +275,7 @@
 
 // Without this message, other hosts would detect a released lease only after
 // 1.3 s without heartbeats, which delays loads at each restart of the owner.
-void FleetKeeper::AnnounceResignation() {
+void FleetManager::AnnounceResignation() {
   const Json body{{"k", lease_.token()},
                   {"x", true},
                   {"p", context_.settings.peer_address}};
@@ -288,17 +287,17 @@
 
 // ---- Planning and messages ----
 
-void FleetKeeper::RecordArrival(const std::string& target, double worth) {
+void FleetManager::RecordArrival(const std::string& target, double worth) {
   auto& [count, sum] = arrivals_[target];
   ++count;
   sum += worth;
 }
 
-void FleetKeeper::SetWaiting(const Demand& demand) {
+void FleetManager::SetDemand(const Demand& demand) {
   demands_[demand.target] = demand;
 }
 
-HostReport FleetKeeper::MakeReport() {
+HostReport FleetManager::MakeReport() {
   HostReport report;
   report.host = context_.settings.self.host;
   for (const auto& [target, demand] : demands_) {
@@ -320,14 +319,14 @@
   return report;
 }
 
-bool FleetKeeper::HasNewDemand() const {
+bool FleetManager::HasNewDemand() const {
   return std::any_of(demands_.begin(), demands_.end(),
                      [this](const auto& item) {
                        return !reported_targets_.contains(item.first);
                      });
 }
 
-void FleetKeeper::ReportToOwner() {
+void FleetManager::ReportToOwner() {
   const PeerAddress owner = lease_.Owner();
   if (owner.host.empty()) return;
   const bool has_updates =
@@ -353,7 +352,7 @@
                          {PeerMessageType::kFleetReport, std::move(body)}});
 }
 
-void FleetKeeper::TakeHostReport(const std::string& host, const Json& body) {
+void FleetManager::HandleHostReport(const std::string& host, const Json& body) {
   if (!planner_) return;
   FleetPeer& peer = peers_[host];
   peer.address = FieldOr<std::string>(body, "p", "");
@@ -395,7 +394,7 @@
   }
 }
 
-void FleetKeeper::Plan() {
+void FleetManager::Plan() {
   std::vector<OrderToSend> orders;
   planner_->SetLimits(limits_.Limits());
   planner_->Decide(lease_.MayOrder() && !IsHandingOver(), context_.now, orders);
@@ -437,7 +436,7 @@
   }
 }
 
-void FleetKeeper::LogNotes() {
+void FleetManager::LogNotes() {
   for (const PlacementNote& note : planner_->TakeNotes()) {
     context_.metrics.Count(
         absl::StrCat("placement_total{event=\"", note.event, "\"}"));
@@ -451,7 +450,7 @@
   }
 }
 
-void FleetKeeper::SendPlans() {
+void FleetManager::SendPlans() {
   if (context_.now - loads_at_ >= kLoadSumInterval) {
     ApplyLoads(SumLoads());
   }
@@ -472,7 +471,7 @@
 // in the answers to their demands. One plan per host meant 1,200 plans a second
 // for 295 hosts, each with the loads of all engines, and orders left seconds
 // late. Data centres take turns, so that no tick sends to all hosts.
-void FleetKeeper::SendSharedPlans() {
+void FleetManager::SendSharedPlans() {
   std::set<std::string> centres;
   for (const auto& [host, peer] : peers_) centres.insert(peer.data_centre);
   std::erase_if(shared_plans_, [&](const auto& item) {
@@ -494,8 +493,8 @@
   }
 }
 
-void FleetKeeper::SendSharedPlan(const std::string& data_centre,
-                                 SharedPlanState& state) {
+void FleetManager::SendSharedPlan(const std::string& data_centre,
+                                  SharedPlanState& state) {
   SendPeers action;
   for (auto& [host, peer] : peers_) {
     if (peer.data_centre != data_centre || !peer.has_plan) continue;
@@ -512,7 +511,7 @@
   if (!action.peers.empty()) context_.Emit(std::move(action));
 }
 
-bool FleetKeeper::CanReadStore() const {
+bool FleetManager::CanReadStore() const {
   return !context_.is_draining && !context_.log_failed &&
          context_.now - context_.news.AsOf() <= context_.settings.news.trust;
 }
@@ -520,7 +519,7 @@
 // Sums the load of each engine over all hosts: a host with a request or two
 // there cannot see that all hosts together have sent several times its
 // capacity.
-EngineLoads FleetKeeper::SumLoads() const {
+EngineLoads FleetManager::SumLoads() const {
   EngineLoads busy;
   for (const auto& [id, server] : servers_) {
     const EngineLoad load{planner_->RequestsAt(id),
@@ -533,7 +532,7 @@
   return busy;
 }
 
-void FleetKeeper::ApplyLoads(EngineLoads loads) {
+void FleetManager::ApplyLoads(EngineLoads loads) {
   for (const auto& [id, load] : loads) {
     context_.view.SetLoad(id, load.running, load.arrivals);
   }
@@ -544,7 +543,7 @@
   loads_at_ = context_.now;
 }
 
-int FleetKeeper::CountPeersIn(const std::string& data_centre) const {
+int FleetManager::CountPeersIn(const std::string& data_centre) const {
   return static_cast<int>(
       std::count_if(peers_.begin(), peers_.end(), [&](const auto& item) {
         return item.second.data_centre == data_centre;
@@ -554,7 +553,7 @@
 // Returns the host that reads the store for `data_centre`: the owner for its
 // own if that is small, as it reads anyway; else the best live host
 // (ReaderChoice).
-PeerAddress FleetKeeper::ChooseReader(const std::string& data_centre) {
+PeerAddress FleetManager::ChooseReader(const std::string& data_centre) {
   if (!context_.settings.policies.Has(Policy::kStoreRelay)) return {};
   const bool is_own = data_centre == context_.settings.data_centre;
   const bool is_settled = readers_.IsSettled(context_.now);
@@ -566,7 +565,7 @@
   return readers_.Reader(data_centre, context_.now);
 }
 
-Json FleetKeeper::PlanBody(const std::string& data_centre, uint64_t since) {
+Json FleetManager::PlanBody(const std::string& data_centre, uint64_t since) {
   Json body{{"k", lease_.token()},       {"p", context_.settings.peer_address},
             {"e", Json::array()},        {"w", Json::array()},
             {"n", context_.fleet_hosts}, {"f", since},
@@ -590,7 +589,7 @@
   return body;
 }
 
-void FleetKeeper::SendPlan(const std::string& host, FleetPeer& peer) {
+void FleetManager::SendPlan(const std::string& host, FleetPeer& peer) {
   Json body = PlanBody(peer.data_centre, peer.sent_news);
   if (!peer.has_plan) body["l"] = LoadsToJson(loads_);
   peer.has_plan = true;
@@ -609,8 +608,8 @@
       host, peer.address, {PeerMessageType::kFleetPlan, std::move(body)}});
 }
 
-std::vector<DemandAnswer> FleetKeeper::TakePlan(const std::string& host,
-                                                const Json& body) {
+std::vector<DemandAnswer> FleetManager::TakePlan(const std::string& host,
+                                                 const Json& body) {
   std::vector<DemandAnswer> answers;
   const FencingToken token = FieldOr<uint64_t>(body, "k", 0);
   if (planner_ || token < lease_.token()) return answers;
@@ -656,7 +655,7 @@
 // an engine would otherwise be missing here until the engine changes again.
 // Each plan names the update that it starts after; the next report tells the
 // owner about a gap, and the owner sends the missing updates again.
-void FleetKeeper::ApplyUpdates(const Json& body, FencingToken token) {
+void FleetManager::ApplyUpdates(const Json& body, FencingToken token) {
   if (token != update_token_) {
     update_token_ = token;
     known_update_ = 0;
@@ -681,7 +680,7 @@
   }
 }
 
-std::vector<DemandAnswer> FleetKeeper::RunTick() {
+std::vector<DemandAnswer> FleetManager::RunTick() {
   std::vector<DemandAnswer> answers;
   lease_.DetectPause();
   RemoveDeparted();
@@ -713,7 +712,7 @@
   return answers;
 }
 
-Json FleetKeeper::ToJson() const {
+Json FleetManager::ToJson() const {
   Json json = lease_.ToJson();
   json["servers"] = Json::object();
   json["departing"] = departing_.size();
--- a/node/fleet_keeper.h
+++ b/node/fleet_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_FLEET_KEEPER_H_
-#define APPLEHALL_NODE_FLEET_KEEPER_H_
+#ifndef APPLEHALL_NODE_FLEET_MANAGER_H_
+#define APPLEHALL_NODE_FLEET_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -28,10 +28,10 @@
 // conditional append decides which host holds the lease; heartbeats only decide
 // when another host may claim it. Without contact to an owner, a host keeps
 // serving the models that the listing shows as loaded.
-class FleetKeeper {
+class FleetManager {
  public:
-  FleetKeeper(NodeContext& context, QuarantineKeeper& quarantine,
-              QuotaKeeper& quotas, LimitKeeper& limits)
+  FleetManager(NodeContext& context, QuarantineKeeper& quarantine,
+               QuotaKeeper& quotas, LimitKeeper& limits)
       : context_(context),
         quarantine_(quarantine),
         quotas_(quotas),
@@ -39,22 +39,22 @@
         lease_(context) {}
 
   // ---- Events from the platform and engines. Not thread-safe. ----
-  void TakeServers(const ServersListed& event);
-  void CatalogueChanged();
-  void TakeLease(const LeaseRead& event);
+  void HandleServerList(const ServersListed& event);
+  void HandleCatalogueChange();
+  void HandleLeaseRead(const LeaseRead& event);
   void TakeAppendEnd(const LeaseAppendEnded& event);
   void TakeInventory(const Inventory& inventory, TimePoint asked_at);
   void TakeOrderResult(const OrderAnswered& event);
 
   // ---- Messages from other hosts. Not thread-safe. ----
-  void TakeHostReport(const std::string& host, const Json& body);
+  void HandleHostReport(const std::string& host, const Json& body);
   // Returns the plan's answers to this host's demands.
   std::vector<DemandAnswer> TakePlan(const std::string& host, const Json& body);
 
   // ---- Demand of this host's requests. Not thread-safe. ----
   void RecordArrival(const std::string& target, double worth);
   // Sets the queued demand for one target until the next tick.
-  void SetWaiting(const Demand& demand);
+  void SetDemand(const Demand& demand);
 
   // Confirms or claims the lease, plans, and reports. Returns the answers to
   // this host's own demands if it is the owner. Not thread-safe.
@@ -73,7 +73,7 @@
   // The newest holder of the lease known here. Not thread-safe.
   KnownOwner NewestOwner() const { return lease_.NewestOwner(); }
   // Records the holder that another host reported. Not thread-safe.
-  void NoteOwner(const KnownOwner& owner) { lease_.NoteOwner(owner); }
+  void RecordOwner(const KnownOwner& owner) { lease_.RecordOwner(owner); }
   // Whether a backend server of `service` is listed. Not thread-safe.
   bool OffersService(const std::string& service) const;
   Json ToJson() const;
@@ -174,4 +174,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_FLEET_KEEPER_H_
+#endif  // APPLEHALL_NODE_FLEET_MANAGER_H_
--- a/node/gossip.cc
+++ b/node/gossip.cc
@@ -46,7 +46,7 @@
   return batch;
 }
 
-Gossip::Gossip(NodeContext& context, GroupKeeper& groups)
+Gossip::Gossip(NodeContext& context, GroupManager& groups)
     : context_(context), groups_(groups) {}
 
 bool Gossip::IsControlReader() const {
@@ -127,10 +127,10 @@
                                                     digest->sequence};
     if (version <= sent) continue;
     if (digests.size() >= kMaxDigestsPerMessage) break;
-    const bool has_base =
+    const bool has_sent_base =
         sent.first == digest->token && sent.second >= digest->base_sequence;
     sent = version;
-    digests.push_back(has_base ? digest->LoadToJson() : digest->ToJson());
+    digests.push_back(has_sent_base ? digest->LoadToJson() : digest->ToJson());
   }
   return digests;
 }
@@ -150,7 +150,7 @@
   state.sent_at = context_.now;
   const HostEntry* entry = context_.hosts.Find(peer);
   Json body{{"o", context_.control.next_offset()},
-            {"based", context_.control.is_based()},
+            {"based", context_.control.has_base()},
             {"c", ToMillis(context_.now - context_.log_answered_at)}};
   Json summaries = CollectSummaries(state);
   if (!summaries.empty()) body["s"] = std::move(summaries);
@@ -158,7 +158,7 @@
     Json digests = CollectDigests(state);
     if (!digests.empty()) body["d"] = std::move(digests);
     Json heartbeats = Json::array();
-    for (const GroupKeeper::Heartbeat& heartbeat : groups_.Heartbeats()) {
+    for (const GroupManager::Heartbeat& heartbeat : groups_.Heartbeats()) {
       heartbeats.push_back({heartbeat.group, heartbeat.token, heartbeat.count});
     }
     if (!heartbeats.empty()) body["b"] = std::move(heartbeats);
@@ -167,7 +167,7 @@
   context_.Send(peer, PeerMessageType::kGossip, std::move(body));
 }
 
-void Gossip::Take(const std::string& from, const Json& body) {
+void Gossip::HandleGossip(const std::string& from, const Json& body) {
   context_.metrics.Count("gossip_received_total");
   PeerState& state = states_[from];
   if (const auto digests = body.find("d");
@@ -220,7 +220,7 @@
   const LogOffset own_offset = context_.control.next_offset();
   if (peer_offset < own_offset || !peer_has_base) {
     SendControl(from, state);
-  } else if (peer_offset > own_offset || !context_.control.is_based()) {
+  } else if (peer_offset > own_offset || !context_.control.has_base()) {
     // The peer answers the own offset with the records after it.
     SendTo(from, state);
   } else {
@@ -233,7 +233,7 @@
 }
 
 void Gossip::SendControl(const std::string& peer, PeerState& state) {
-  if (!context_.control.is_based()) return;
+  if (!context_.control.has_base()) return;
   if (context_.now - state.control_sent_at <
       context_.settings.gossip_least_interval) {
     return;
@@ -254,7 +254,7 @@
 
 bool Gossip::TakeControl(const Json& body) {
   const LogOffset before = context_.control.next_offset();
-  const bool was_based = context_.control.is_based();
+  const bool was_based = context_.control.has_base();
   if (const auto batch = body.find("batch"); batch != body.end()) {
     LogBatch records = LogBatchFromJson(*batch);
     // The first offset of a peer's batch is where its answer starts, not where
@@ -266,10 +266,10 @@
     context_.control.Install(*snapshot);
   }
   return context_.control.next_offset() != before ||
-         context_.control.is_based() != was_based;
+         context_.control.has_base() != was_based;
 }
 
-std::string Gossip::DataCentreWith(
+std::string Gossip::FindReadyDataCentre(
     const std::string& target, const std::vector<std::string>& allowed) const {
   for (const auto& [name, summary] : summaries_) {
     if (name == context_.settings.data_centre) continue;
--- a/node/gossip.h
+++ b/node/gossip.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "node/group_keeper.h"
+#include "node/group_manager.h"
 #include "node/node_context.h"
 
 namespace applehall {
@@ -28,12 +28,12 @@
 // comparing control offsets.
 class Gossip {
  public:
-  Gossip(NodeContext& context, GroupKeeper& groups);
+  Gossip(NodeContext& context, GroupManager& groups);
 
   // Sends the messages that are due. Not thread-safe.
   void RunTick();
   // Applies a gossip message. Not thread-safe.
-  void Take(const std::string& from, const Json& body);
+  void HandleGossip(const std::string& from, const Json& body);
   // Applies control records or a snapshot; true if the control state advanced.
   // Not thread-safe.
   bool TakeControl(const Json& body);
@@ -44,8 +44,8 @@
   bool IsControlReader() const;
   // Returns another data centre where `target` is ready, one of `allowed`
   // unless that is empty; empty if there is none. Not thread-safe.
-  std::string DataCentreWith(const std::string& target,
-                             const std::vector<std::string>& allowed) const;
+  std::string FindReadyDataCentre(
+      const std::string& target, const std::vector<std::string>& allowed) const;
   Json ToJson() const;
 
  private:
@@ -65,7 +65,7 @@
   bool HasUrgentUpdates() const;
 
   NodeContext& context_;
-  GroupKeeper& groups_;
+  GroupManager& groups_;
   std::vector<std::string> peers_;
   uint64_t peers_version_ = 0;
   std::map<std::string, PeerState> states_;
--- a/node/group_keeper.cc
+++ b/node/group_manager.cc
@@ -1,4 +1,4 @@
-#include "node/group_keeper.h"
+#include "node/group_manager.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -24,21 +24,21 @@
 
 }  // namespace
 
-GroupKeeper::GroupKeeper(NodeContext& context, LogWriter& writer)
+GroupManager::GroupManager(NodeContext& context, LogWriter& writer)
     : context_(context), writer_(writer) {}
 
-std::string GroupKeeper::GroupName(int index) const {
+std::string GroupManager::GroupName(int index) const {
   return absl::StrCat(context_.settings.data_centre, "/", index);
 }
 
-int GroupKeeper::IndexOf(const std::string& group) const {
+int GroupManager::IndexOf(const std::string& group) const {
   for (int i = 0; i < context_.settings.group_count; ++i) {
     if (GroupName(i) == group) return i;
   }
   return -1;
 }
 
-std::vector<std::string> GroupKeeper::GroupsFor(
+std::vector<std::string> GroupManager::RankGroups(
     const std::string& target) const {
   const auto entry = context_.catalogue.find(target);
   const bool is_adapter =
@@ -54,24 +54,24 @@
   return groups;
 }
 
-std::string GroupKeeper::OwnerOf(const std::string& group) const {
+std::string GroupManager::OwnerOf(const std::string& group) const {
   const GroupOwnership* ownership = context_.control.ownership().Find(group);
   return ownership == nullptr ? "" : ownership->owner.host;
 }
 
 // Splits a bound on the replicas in the data centre between its groups, in
 // their order of preference for the model, so that owners need not coordinate.
-int GroupKeeper::ReplicaQuota(const std::string& group,
-                              const std::string& target,
-                              int max_replicas) const {
-  const std::vector<std::string> groups = GroupsFor(target);
+int GroupManager::ReplicaQuota(const std::string& group,
+                               const std::string& target,
+                               int max_replicas) const {
+  const std::vector<std::string> groups = RankGroups(target);
   const int count = static_cast<int>(groups.size());
   const int rank = static_cast<int>(
       std::find(groups.begin(), groups.end(), group) - groups.begin());
   return max_replicas / count + (rank < max_replicas % count ? 1 : 0);
 }
 
-PlacementPolicy GroupKeeper::Policy() const {
+PlacementPolicy GroupManager::Policy() const {
   PlacementPolicy policy;
   policy.bounds = &context_.bounds;
   policy.catalogue = &context_.catalogue;
@@ -80,15 +80,15 @@
   return policy;
 }
 
-void GroupKeeper::HandleHeartbeat(const std::string& group, FencingToken token,
-                                  uint64_t heartbeat) {
+void GroupManager::HandleHeartbeat(const std::string& group, FencingToken token,
+                                   uint64_t heartbeat) {
   ReceivedHeartbeat& last = heartbeats_[group];
   if (token < last.token) return;
   if (token == last.token && heartbeat <= last.count) return;
   last = {token, heartbeat, context_.now};
 }
 
-std::vector<GroupKeeper::Heartbeat> GroupKeeper::Heartbeats() const {
+std::vector<GroupManager::Heartbeat> GroupManager::Heartbeats() const {
   std::vector<Heartbeat> heartbeats;
   for (const auto& [group, owner] : owners_) {
     heartbeats.push_back({group, owner->token(), heartbeat_count_});
@@ -101,8 +101,8 @@
   return heartbeats;
 }
 
-bool GroupKeeper::IsOwnerGone(const std::string& group,
-                              const GroupOwnership& ownership) {
+bool GroupManager::IsOwnerGone(const std::string& group,
+                               const GroupOwnership& ownership) {
   if (ownership.owner.host == context_.settings.self.host) {
     // An earlier incarnation of this host cannot return.
     return ownership.owner.number != context_.settings.self.number;
@@ -122,9 +122,9 @@
   return context_.now - last > context_.settings.owner_lease;
 }
 
-bool GroupKeeper::IsMyTurn(const std::string& group,
-                           const GroupOwnership* ownership,
-                           TimePoint since) const {
+bool GroupManager::IsMyTurn(const std::string& group,
+                            const GroupOwnership* ownership,
+                            TimePoint since) const {
   std::vector<std::pair<uint64_t, std::string>> ranked;
   for (const HostEntry* host :
        context_.hosts.EntryHosts(context_.settings.data_centre, false)) {
@@ -143,7 +143,7 @@
   return false;
 }
 
-void GroupKeeper::TryClaim(const std::string& group) {
+void GroupManager::TryClaim(const std::string& group) {
   const GroupOwnership* ownership = context_.control.ownership().Find(group);
   const FencingToken previous = ownership == nullptr ? 0 : ownership->token;
   if (ownership != nullptr && ownership->is_owned() &&
@@ -161,7 +161,7 @@
                  ClaimGroupRecord("", group, context_.settings.self, previous));
 }
 
-bool GroupKeeper::HasUnreleasedPredecessor(
+bool GroupManager::HasUnreleasedPredecessor(
     const GroupOwnership& ownership) const {
   const Duration horizon = context_.settings.owner.order_horizon;
   return std::any_of(
@@ -176,7 +176,7 @@
       });
 }
 
-void GroupKeeper::Reconcile() {
+void GroupManager::Reconcile() {
   for (int i = 0; i < context_.settings.group_count; ++i) {
     const std::string group = GroupName(i);
     const GroupOwnership* ownership = context_.control.ownership().Find(group);
@@ -209,7 +209,7 @@
   UpdateStoreShare();
 }
 
-void GroupKeeper::UpdateStoreShare() {
+void GroupManager::UpdateStoreShare() {
   // Each group of each data centre has an equal share, which every host derives
   // from the host list; the remainder goes to the first groups by name.
   int centres = 0;
@@ -232,11 +232,11 @@
                   held_slots);
 }
 
-void GroupKeeper::RunTick() {
+void GroupManager::RunTick() {
   if (context_.now - decided_at_ < kDecideInterval) return;
   decided_at_ = context_.now;
   ++heartbeat_count_;
-  if (!context_.hosts.is_known() || !context_.control.is_based()) return;
+  if (!context_.hosts.is_known() || !context_.control.has_base()) return;
   if (!context_.is_draining) {
     for (int i = 0; i < context_.settings.group_count; ++i) {
       const std::string group = GroupName(i);
@@ -248,7 +248,7 @@
   BorrowFromStore();
 }
 
-void GroupKeeper::RunOwner(const std::string& group, EngineOwner& owner) {
+void GroupManager::RunOwner(const std::string& group, EngineOwner& owner) {
   const GroupOwnership* ownership = context_.control.ownership().Find(group);
   owner.SetEngines(
       context_.hosts.Engines(IndexOf(group), context_.settings.group_count));
@@ -271,7 +271,7 @@
   PublishDigests(owner);
 }
 
-void GroupKeeper::LogNotes(EngineOwner& owner) {
+void GroupManager::LogNotes(EngineOwner& owner) {
   for (const PlacementNote& note : owner.TakeNotes()) {
     context_.metrics.Count(
         absl::StrCat("placement_total{event=\"", note.event, "\"}"));
@@ -297,7 +297,7 @@
   }
 }
 
-void GroupKeeper::PublishDigests(EngineOwner& owner) {
+void GroupManager::PublishDigests(EngineOwner& owner) {
   for (const auto& [name, engine] : owner.engines()) {
     if (!engine.ledger.is_known()) continue;
     const Inventory& inventory = engine.ledger.inventory();
@@ -320,7 +320,7 @@
 // Publishes a change of ready targets at once, a change of load if it is large
 // or the last one is old, and the whole digest periodically for hosts that
 // missed a change.
-void GroupKeeper::PublishDigest(EngineDigest digest) {
+void GroupManager::PublishDigest(EngineDigest digest) {
   const EngineDigest* known = context_.view.Find(digest.engine);
   SentDigest& sent = digests_sent_[digest.engine];
   const bool is_load_only = known != nullptr &&
@@ -345,8 +345,8 @@
   context_.view.Merge(digest, context_.now);
 }
 
-void GroupKeeper::TakeInventory(const Inventory& inventory,
-                                TimePoint asked_at) {
+void GroupManager::TakeInventory(const Inventory& inventory,
+                                 TimePoint asked_at) {
   for (auto& [group, owner] : owners_) {
     owner->TakeInventory(inventory, asked_at, context_.now);
     PublishDigests(*owner);
@@ -356,8 +356,8 @@
   }
 }
 
-std::optional<DemandAnswer> GroupKeeper::TakeDemand(const std::string& group,
-                                                    const Demand& demand) {
+std::optional<DemandAnswer> GroupManager::TakeDemand(const std::string& group,
+                                                     const Demand& demand) {
   const auto it = owners_.find(group);
   if (it == owners_.end()) return std::nullopt;
   it->second->TakeDemand(demand, context_.now);
@@ -369,7 +369,7 @@
       context_.now);
 }
 
-void GroupKeeper::ReleaseFinished() {
+void GroupManager::ReleaseFinished() {
   const auto release = [this](const EngineOwner& owner) {
     LogEvent(LogLevel::kInfo, "group_release")
         .With("group", owner.group())
@@ -406,7 +406,7 @@
   }
 }
 
-void GroupKeeper::BorrowFromStore() {
+void GroupManager::BorrowFromStore() {
   if (context_.now - borrow_requested_at_ < kBorrowInterval) return;
   const bool needs_store = std::any_of(
       owners_.begin(), owners_.end(),
@@ -428,7 +428,7 @@
                 PeerMessageType::kStoreBorrow, Json::object());
 }
 
-void GroupKeeper::TakeStoreBorrow(const std::string& host, const Json&) {
+void GroupManager::HandleStoreBorrow(const std::string& host, const Json&) {
   const Incarnation& self = context_.settings.self;
   const std::optional<StoreGrant> grant = store_.Lend(
       absl::StrCat(self.host, ".", self.number, ".", ++grant_count_),
@@ -442,7 +442,7 @@
                      {"life_ms", ToMillis(grant->expires - context_.now)}});
 }
 
-void GroupKeeper::TakeStoreGrant(const Json& body) {
+void GroupManager::HandleStoreGrant(const Json& body) {
   StoreGrant grant;
   grant.id = FieldOr<std::string>(body, "id", "");
   grant.loads = FieldOr<double>(body, "loads", 0.0);
@@ -452,7 +452,7 @@
   store_.Accept(grant, context_.now);
 }
 
-Json GroupKeeper::ToJson() const {
+Json GroupManager::ToJson() const {
   Json json{{"owned", Json::object()}, {"retiring", Json::array()}};
   for (const auto& [group, owner] : owners_) {
     json["owned"][group] = owner->ToJson(context_.now);
--- a/node/group_keeper.h
+++ b/node/group_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_GROUP_KEEPER_H_
-#define APPLEHALL_NODE_GROUP_KEEPER_H_
+#ifndef APPLEHALL_NODE_GROUP_MANAGER_H_
+#define APPLEHALL_NODE_GROUP_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -19,9 +19,9 @@
 // The log decides which host owns a group; the owner's lease only decides when
 // another host may claim it. An owner that is partitioned from the log keeps
 // its groups, as no other host can claim them without the log.
-class GroupKeeper {
+class GroupManager {
  public:
-  GroupKeeper(NodeContext& context, LogWriter& writer);
+  GroupManager(NodeContext& context, LogWriter& writer);
 
   // Starts and stops owners to match the log. Requires: called after each
   // change of the control fold or the host list. Not thread-safe.
@@ -40,8 +40,8 @@
                        uint64_t heartbeat);
   // Lends part of the store's load budget to `host`, and accepts such a loan.
   // Not thread-safe.
-  void TakeStoreBorrow(const std::string& host, const Json& body);
-  void TakeStoreGrant(const Json& body);
+  void HandleStoreBorrow(const std::string& host, const Json& body);
+  void HandleStoreGrant(const Json& body);
 
   // The owner of a group increments `count` while it runs.
   struct Heartbeat {
@@ -54,11 +54,11 @@
   std::vector<Heartbeat> Heartbeats() const;
   // Returns the groups of this data centre in their order of preference for
   // `target`; an adapter has the order of its base model. Not thread-safe.
-  std::vector<std::string> GroupsFor(const std::string& target) const;
+  std::vector<std::string> RankGroups(const std::string& target) const;
   // Returns the host that owns `group`; empty if none. Not thread-safe.
   std::string OwnerOf(const std::string& group) const;
   // Whether a drain still has groups to release. Not thread-safe.
-  bool HoldsAny() const { return !owners_.empty(); }
+  bool OwnsAnyGroup() const { return !owners_.empty(); }
   Json ToJson() const;
 
  private:
@@ -110,4 +110,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_GROUP_KEEPER_H_
+#endif  // APPLEHALL_NODE_GROUP_MANAGER_H_
--- a/node/log_writer.cc
+++ b/node/log_writer.cc
@@ -27,7 +27,7 @@
   context_.Emit(AppendRecord{kControlStream, id, body.dump()});
 }
 
-void LogWriter::Ended(const std::string& record_id) {
+void LogWriter::HandleAppendEnd(const std::string& record_id) {
   // The key may be written again from here on, even before its record has been
   // read; the fold rejects a second record by its token.
   std::erase_if(pending_, [&](const auto& entry) {
--- a/node/log_writer.h
+++ b/node/log_writer.h
@@ -18,7 +18,7 @@
   // Appends `body` unless an append for `key` is pending. Not thread-safe.
   void Append(const std::string& key, Json body);
   // Ends a pending append, whether it succeeded or not. Not thread-safe.
-  void Ended(const std::string& record_id);
+  void HandleAppendEnd(const std::string& record_id);
   // Returns a unique id for a record of this process. Not thread-safe.
   std::string NextId();
 
--- a/node/node.cc
+++ b/node/node.cc
@@ -135,12 +135,12 @@
 }
 
 void Node::On(const ServersListed& event) {
-  fleet_.TakeServers(event);
+  fleet_.HandleServerList(event);
   flow_.PumpAll();
 }
 
 void Node::On(const AppendEnded& event) {
-  writer_.Ended(event.record_id);
+  writer_.HandleAppendEnd(event.record_id);
   if (event.is_appended) return;
   context_.metrics.Count("log_appends_unanswered_total");
   flow_.ClaimAppendFailed(event.record_id);
@@ -201,14 +201,14 @@
     context_.catalogue[entry.name] = entry;
   }
   context_.engine_classes = event.engine_classes;
-  fleet_.CatalogueChanged();
+  fleet_.HandleCatalogueChange();
 }
 
 void Node::On(const PeerMessageReceived& event) {
   const Json& body = event.message.body;
   switch (event.message.type) {
     case PeerMessageType::kGossip:
-      gossip_.Take(event.host, body);
+      gossip_.HandleGossip(event.host, body);
       flow_.PumpAll();
       return;
     case PeerMessageType::kControl:
@@ -228,13 +228,13 @@
       flow_.TakeDemandAnswer(DemandAnswerFrom(body));
       return;
     case PeerMessageType::kStoreBorrow:
-      groups_.TakeStoreBorrow(event.host, body);
+      groups_.HandleStoreBorrow(event.host, body);
       return;
     case PeerMessageType::kStoreGrant:
-      groups_.TakeStoreGrant(body);
+      groups_.HandleStoreGrant(body);
       return;
     case PeerMessageType::kFleetReport:
-      fleet_.TakeHostReport(event.host, body);
+      fleet_.HandleHostReport(event.host, body);
       return;
     case PeerMessageType::kFleetPlan:
       for (const DemandAnswer& answer : fleet_.TakePlan(event.host, body)) {
@@ -247,7 +247,7 @@
       return;
     case PeerMessageType::kStoreNews:
       relay_.TakeRelayed(event.host, body);
-      fleet_.NoteOwner(StoreRelay::OwnerIn(body));
+      fleet_.RecordOwner(StoreRelay::OwnerIn(body));
       return;
     case PeerMessageType::kQuotaUsage:
       quotas_.TakeCentreUsage(event.host, body);
@@ -317,7 +317,7 @@
 // where its writer had read, so it cannot undo what came after.
 void Node::CarryForward() {
   if (!gossip_.IsControlReader() || context_.IsLogDown()) return;
-  if (!context_.control.is_based() || context_.control.next_offset() <= 1) {
+  if (!context_.control.has_base() || context_.control.next_offset() <= 1) {
     return;
   }
   const Duration after = context_.settings.carry_after;
@@ -341,7 +341,7 @@
     if (took >= bound * 2 / 3) flow_.RefuseOpen(/*with_sent=*/is_over);
   }
   const bool is_released =
-      IsFleet() ? fleet_.IsReleased() : !groups_.HoldsAny();
+      IsFleet() ? fleet_.IsReleased() : !groups_.OwnsAnyGroup();
   const bool is_done = flow_.open_requests() == 0 && is_released &&
                        took >= context_.settings.drain_least;
   if (!is_done && !is_over) return;
@@ -367,7 +367,7 @@
   json["log"] = Json{
       {"down", context_.IsLogDown()},
       {"control_offset", context_.control.next_offset()},
-      {"control_based", context_.control.is_based()},
+      {"control_based", context_.control.has_base()},
       {"confirmed_ms_ago", ToMillis(context_.now - context_.log_answered_at)}};
   json["ownership"] = context_.control.ownership().ToJson();
   if (IsFleet()) {
@@ -394,7 +394,7 @@
   // What this host does not know yet, said plainly.
   json["unknown"] = Json::array();
   if (!rules) json["unknown"].push_back("rule set");
-  if (!context_.control.is_based()) json["unknown"].push_back("control state");
+  if (!context_.control.has_base()) json["unknown"].push_back("control state");
   if (!context_.hosts.is_known()) json["unknown"].push_back("host list");
   if (context_.catalogue.empty()) json["unknown"].push_back("catalogue");
   return json;
--- a/node/node.h
+++ b/node/node.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "node/fleet_keeper.h"
+#include "node/fleet_manager.h"
 #include "node/gossip.h"
-#include "node/group_keeper.h"
+#include "node/group_manager.h"
 #include "node/limit_keeper.h"
 #include "node/log_writer.h"
 #include "node/node_context.h"
@@ -73,7 +73,7 @@
   void On(const RuleSetRead& event);
   void On(const ServersListed& event);
   void On(const StoreReached& event);
-  void On(const LeaseRead& event) { fleet_.TakeLease(event); }
+  void On(const LeaseRead& event) { fleet_.HandleLeaseRead(event); }
   void On(const LeaseAppendEnded& event) { fleet_.TakeAppendEnd(event); }
   void On(const OrderAnswered& event) { fleet_.TakeOrderResult(event); }
   void On(const StoreNewsRead& event) { relay_.TakeNews(event); }
@@ -94,12 +94,12 @@
 
   NodeContext context_;
   LogWriter writer_;
-  GroupKeeper groups_;
+  GroupManager groups_;
   Gossip gossip_;
   QuarantineKeeper quarantine_;
   QuotaKeeper quotas_;
   LimitKeeper limits_;
-  FleetKeeper fleet_;
+  FleetManager fleet_;
   RequestFlow flow_;
   StoreRelay relay_;
   LogOffset bounds_version_ = 0;
--- a/node/placement_lease.cc
+++ b/node/placement_lease.cc
@@ -96,7 +96,7 @@
   reread_since_ = context_.now;
 }
 
-void PlacementLease::NoteOwner(const KnownOwner& owner) {
+void PlacementLease::RecordOwner(const KnownOwner& owner) {
   if (owner.peer.host.empty() || owner.token <= token_) return;
   if (owner.token < reported_token_) return;
   // Reads the record of the newer holder. Until the store is reachable, the
@@ -122,7 +122,7 @@
 
 void PlacementLease::RecordHeartbeat(const PeerAddress& host,
                                      FencingToken token) {
-  NoteOwner({host, token});
+  RecordOwner({host, token});
   if (Owner().host == host.host) last_contact_at_ = context_.now;
 }
 
--- a/node/placement_lease.h
+++ b/node/placement_lease.h
@@ -34,7 +34,7 @@
   // Records the holder that another host reported. This is no heartbeat, but
   // tells a host without access to the store where to send its reports. Not
   // thread-safe.
-  void NoteOwner(const KnownOwner& owner);
+  void RecordOwner(const KnownOwner& owner);
   // Returns the newest holder known here, which may be this host. Not
   // thread-safe.
   KnownOwner NewestOwner() const;
--- a/node/request_decider.h
+++ b/node/request_decider.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "node/fleet_keeper.h"
+#include "node/fleet_manager.h"
 #include "node/node_context.h"
 #include "node/open_request.h"
 #include "node/quota_keeper.h"
@@ -15,7 +15,7 @@
 // the service or model it needs, and whether the team's quota bears it.
 class RequestDecider {
  public:
-  RequestDecider(NodeContext& context, FleetKeeper& fleet, QuotaKeeper& quotas)
+  RequestDecider(NodeContext& context, FleetManager& fleet, QuotaKeeper& quotas)
       : context_(context), fleet_(fleet), quotas_(quotas) {}
 
   // Fills in rule, team, deadline and target; a refusal if any of them says so.
@@ -39,7 +39,7 @@
   }
 
   NodeContext& context_;
-  FleetKeeper& fleet_;
+  FleetManager& fleet_;
   QuotaKeeper& quotas_;
 };
 
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -59,8 +59,8 @@
 
 }  // namespace
 
-RequestFlow::RequestFlow(NodeContext& context, GroupKeeper& groups,
-                         Gossip& gossip, FleetKeeper& fleet,
+RequestFlow::RequestFlow(NodeContext& context, GroupManager& groups,
+                         Gossip& gossip, FleetManager& fleet,
                          QuarantineKeeper& quarantine, QuotaKeeper& quotas,
                          LimitKeeper& limits)
     : context_(context),
@@ -191,22 +191,22 @@
   }
   request.phase = Phase::kClaiming;
   switch (claims_.Begin(request.arrival.handle, key, context_.now)) {
-    case ClaimGuard::Standing::kPending:
+    case ClaimGuard::BeginResult::kPending:
       return std::nullopt;
-    case ClaimGuard::Standing::kDuplicate:
+    case ClaimGuard::BeginResult::kDuplicate:
       return Refusal{Verdict::kMayHaveRun, RefusalReason::kDuplicateRequest,
                      "a request with this Idempotency-Key was accepted before",
                      Duration{0}};
-    case ClaimGuard::Standing::kKeyMalformed:
+    case ClaimGuard::BeginResult::kKeyMalformed:
       return NotRun(RefusalReason::kIdempotencyKeyMissing,
                     "the Idempotency-Key is not a UUID of version 7");
-    case ClaimGuard::Standing::kKeyTooOld:
+    case ClaimGuard::BeginResult::kKeyTooOld:
       return NotRun(RefusalReason::kIdempotencyKeyExpired,
                     "the Idempotency-Key is older than keys are remembered");
-    case ClaimGuard::Standing::kKeyAhead:
+    case ClaimGuard::BeginResult::kKeyInFuture:
       return NotRun(RefusalReason::kIdempotencyKeyExpired,
                     "the Idempotency-Key was issued in the future");
-    case ClaimGuard::Standing::kNotReady:
+    case ClaimGuard::BeginResult::kNotReady:
       return NotRun(RefusalReason::kLogUnavailable,
                     "this host has not read the log yet", kRetrySoon);
   }
@@ -466,7 +466,7 @@
   if (request.arrival.is_forwarded || request.was_forwarded) return false;
   if (IsService(request)) return false;
   const std::vector<std::string>& allowed = request.rule().then.data_centres;
-  std::string centre = gossip_.DataCentreWith(request.target, allowed);
+  std::string centre = gossip_.FindReadyDataCentre(request.target, allowed);
   if (centre.empty() &&
       !request.rule().then.AllowsDataCentre(context_.settings.data_centre)) {
     centre = allowed[context_.random.Below(allowed.size())];
@@ -807,7 +807,7 @@
 }
 
 void RequestFlow::ClaimAppendFailed(const std::string& record_id) {
-  claims_.AppendFailed(record_id, context_.now);
+  claims_.HandleAppendFailure(record_id, context_.now);
 }
 
 void RequestFlow::RunClaims() {
@@ -891,7 +891,7 @@
 }
 
 void RequestFlow::SendDemand(const std::string& target, TargetState& state) {
-  const std::vector<std::string> groups = groups_.GroupsFor(target);
+  const std::vector<std::string> groups = groups_.RankGroups(target);
   if (groups.empty()) return;
   const std::string& group = groups[state.group_rank % groups.size()];
   const Demand demand = DemandOf(target, state);
@@ -922,7 +922,7 @@
     state.answered_at = context_.now;
     return;
   }
-  const std::vector<std::string> groups = groups_.GroupsFor(answer.target);
+  const std::vector<std::string> groups = groups_.RankGroups(answer.target);
   if (answer.status == DemandStatus::kNoPlace &&
       state.group_rank + 1 < groups.size()) {
     ++state.group_rank;
@@ -999,7 +999,7 @@
   for (const std::string& target : wanting) {
     TargetState& state = targets_[target];
     if (IsFleet()) {
-      fleet_.SetWaiting(DemandOf(target, state));
+      fleet_.SetDemand(DemandOf(target, state));
       RefuseAll(waits_.Hopeless(target, state));
       RefuseAll(waits_.Overflow(target, state));
       continue;
--- a/node/request_flow.h
+++ b/node/request_flow.h
@@ -10,9 +10,9 @@
 
 #include "claims/claim_guard.h"
 #include "node/early_requests.h"
-#include "node/fleet_keeper.h"
+#include "node/fleet_manager.h"
 #include "node/gossip.h"
-#include "node/group_keeper.h"
+#include "node/group_manager.h"
 #include "node/limit_keeper.h"
 #include "node/node_context.h"
 #include "node/open_request.h"
@@ -30,8 +30,8 @@
 // key, its wait, its attempts and its end.
 class RequestFlow {
  public:
-  RequestFlow(NodeContext& context, GroupKeeper& groups, Gossip& gossip,
-              FleetKeeper& fleet, QuarantineKeeper& quarantine,
+  RequestFlow(NodeContext& context, GroupManager& groups, Gossip& gossip,
+              FleetManager& fleet, QuarantineKeeper& quarantine,
               QuotaKeeper& quotas, LimitKeeper& limits);
 
   // Events of one request; all may come late, doubled or after its end. Not
@@ -141,9 +141,9 @@
   Request* Find(RequestHandle handle);
 
   NodeContext& context_;
-  GroupKeeper& groups_;
+  GroupManager& groups_;
   Gossip& gossip_;
-  FleetKeeper& fleet_;
+  FleetManager& fleet_;
   QuarantineKeeper& quarantine_;
   QuotaKeeper& quotas_;
   LimitKeeper& limits_;
--- a/tests/claims/claim_guard_test.cc
+++ b/tests/claims/claim_guard_test.cc
@@ -60,9 +60,10 @@
 // same id, and both treated the one winning claim as their own.
 TEST_F(ClaimGuardTest, IdenticallySeededHostsDoNotShareClaim) {
   const std::string key = NewKey();
-  ASSERT_EQ(first_.Begin(1, key, clock_.Now()), ClaimGuard::Standing::kPending);
+  ASSERT_EQ(first_.Begin(1, key, clock_.Now()),
+            ClaimGuard::BeginResult::kPending);
   ASSERT_EQ(second_.Begin(2, key, clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
   Linger();
   AppendNext(first_);
   AppendNext(second_);
@@ -74,7 +75,7 @@
 // find its record on the log and grant the request once.
 TEST_F(ClaimGuardTest, LostAppendAnswerIsResolvedByReadingLog) {
   ASSERT_EQ(first_.Begin(1, NewKey(), clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
   Linger();
   ASSERT_TRUE(AppendNext(first_));
   clock_.Advance(seconds(3));
@@ -101,7 +102,7 @@
   ASSERT_TRUE(AppendNext(first_)) << "the key is not released";
   ReadAll();
   EXPECT_EQ(second_.Begin(2, key, clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
 }
 
 // A duplicate of a claim's record arrives after the claim's release. If it won,
@@ -120,7 +121,7 @@
   log_.Append(kStream, claim->dump(), clock_.Now());
   ReadAll();
   EXPECT_EQ(second_.Begin(2, key, clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
 }
 
 // A caller repeats a request whose claim has expired from the log, at a host
@@ -139,7 +140,7 @@
   ClaimGuard replacement({"entry-3", 9}, ClaimSettings{});
   Read(replacement);
   EXPECT_EQ(replacement.Begin(1, key, clock_.Now()),
-            ClaimGuard::Standing::kKeyTooOld);
+            ClaimGuard::BeginResult::kKeyTooOld);
 }
 
 // The log's retention is shorter than the window of keys. A new host cannot see
@@ -159,10 +160,10 @@
   ClaimGuard replacement({"entry-3", 9}, ClaimSettings{});
   Read(replacement);
   EXPECT_EQ(replacement.Begin(1, old_key, clock_.Now()),
-            ClaimGuard::Standing::kKeyTooOld);
+            ClaimGuard::BeginResult::kKeyTooOld);
   clock_.Advance(seconds(10));
   EXPECT_EQ(replacement.Begin(2, NewKey(), clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
 }
 
 // A host is paused before it reads its claim back, until an earlier claim of
@@ -205,10 +206,10 @@
 
 TEST_F(ClaimGuardTest, KeyWithoutValidIssueTimeIsRejected) {
   EXPECT_EQ(first_.Begin(1, "door-7", clock_.Now()),
-            ClaimGuard::Standing::kKeyMalformed);
+            ClaimGuard::BeginResult::kKeyMalformed);
   const std::string ahead = MakeUuid7(clock_.Now() + minutes(5), random_);
   EXPECT_EQ(first_.Begin(1, ahead, clock_.Now()),
-            ClaimGuard::Standing::kKeyAhead);
+            ClaimGuard::BeginResult::kKeyInFuture);
 }
 
 }  // namespace
--- a/tests/node/differential_test.cc
+++ b/tests/node/differential_test.cc
@@ -213,7 +213,7 @@
         break;
       }
       case 3:
-        if (host.is_based()) snapshots.push_back(host.Snapshot());
+        if (host.has_base()) snapshots.push_back(host.Snapshot());
         break;
       case 4:
         if (!snapshots.empty()) {
@@ -238,7 +238,7 @@
         break;
     }
     for (const ControlFold& checked : hosts) {
-      if (!checked.is_based()) continue;
+      if (!checked.has_base()) continue;
       const NaiveFold& truth = after[checked.next_offset() - 1];
       RC_ASSERT(checked.rules().version() == truth.version);
       if (truth.version > 0) {
--- a/tests/node/fleet_fixture.h
+++ b/tests/node/fleet_fixture.h
@@ -58,7 +58,7 @@
 
   void Add(const std::string& name, const std::string& centre = "hall") {
     Start(name, centre);
-    Teach(name);
+    LoadConfiguration(name);
   }
 
   // Starts a host without configuration.
@@ -80,7 +80,7 @@
   }
 
   // Delivers the rules, models and servers of the store to a host.
-  void Teach(const std::string& name) {
+  void LoadConfiguration(const std::string& name) {
     Handle(name, RuleSetRead{1, *ParseJson(kRules)});
     CatalogueRead catalogue;
     for (const char* model : {"llm/m0", "llm/m1"}) {
@@ -217,7 +217,7 @@
   }
 
   template <typename T>
-  std::vector<T> Done(const std::string& name) const {
+  std::vector<T> ActionsOf(const std::string& name) const {
     std::vector<T> found;
     for (const Action& action : hosts_.at(name).done) {
       if (const T* one = std::get_if<T>(&action)) found.push_back(*one);
--- a/tests/node/fleet_test.cc
+++ b/tests/node/fleet_test.cc
@@ -36,9 +36,9 @@
   // The catalogue name is SERVICE/MODEL; the caller names the model alone.
   Arrive(second, 2, "/rare/x", "m1");
   Run(seconds(2));
-  EXPECT_TRUE(Done<SendOrder>(second).empty()) << "too early";
+  EXPECT_TRUE(ActionsOf<SendOrder>(second).empty()) << "too early";
   Run(seconds(2));
-  EXPECT_FALSE(Done<SendOrder>(second).empty());
+  EXPECT_FALSE(ActionsOf<SendOrder>(second).empty());
   EXPECT_GE(now_ - taken_over_at, seconds(3));
 }
 
@@ -73,7 +73,7 @@
   Run(seconds(2));
   Arrive(holder, 1, "/rare/x", "m1");
   Run(milliseconds(300));
-  const std::vector<SendOrder> orders = Done<SendOrder>(holder);
+  const std::vector<SendOrder> orders = ActionsOf<SendOrder>(holder);
   ASSERT_FALSE(orders.empty());
   ASSERT_TRUE(orders.back().order.arrive_by.has_value());
   EXPECT_LE(*orders.back().order.arrive_by, proven + milliseconds(2500));
@@ -81,7 +81,7 @@
   hosts_.at(holder).done.clear();
   Arrive(holder, 2, "/rare/x", "m1");
   Run(seconds(1));
-  EXPECT_TRUE(Done<SendOrder>(holder).empty());
+  EXPECT_TRUE(ActionsOf<SendOrder>(holder).empty());
 }
 
 // Only the owner is cut off from the store. It may send no orders with an
@@ -225,9 +225,9 @@
   hosts_.at(first).done.clear();
   Arrive(first, 1, "/rare/x", "m1");
   Handle(first, Tick{});
-  EXPECT_TRUE(Done<SendOrder>(first).empty());
+  EXPECT_TRUE(ActionsOf<SendOrder>(first).empty());
   Run(seconds(1));
-  EXPECT_TRUE(Done<SendOrder>(first).empty());
+  EXPECT_TRUE(ActionsOf<SendOrder>(first).empty());
   ASSERT_EQ(Holders().size(), 1u);
   EXPECT_NE(Holders()[0], first);
 }
@@ -341,9 +341,10 @@
          PeerMessageReceived{owner, {PeerMessageType::kFleetPlan, plan}});
   Arrive(other, 1, "/rare/x", "m0");
   Run(milliseconds(100));
-  EXPECT_TRUE(Done<DispatchRequest>(other).empty()) << "its engines are full";
+  EXPECT_TRUE(ActionsOf<DispatchRequest>(other).empty())
+      << "its engines are full";
   Run(seconds(4));
-  EXPECT_FALSE(Done<DispatchRequest>(other).empty());
+  EXPECT_FALSE(ActionsOf<DispatchRequest>(other).empty());
 }
 
 // An engine dies during a stream while all others are at capacity. The caller
@@ -355,7 +356,7 @@
   const std::string other = owner == "a" ? "b" : "a";
   hosts_.at(other).is_cut_from_hosts = true;
   Arrive(other, 1, "/stream/x", "m0");
-  const DispatchRequest first = Done<DispatchRequest>(other)[0];
+  const DispatchRequest first = ActionsOf<DispatchRequest>(other)[0];
   Handle(other, AttemptStarted{1});
   const Json loads = *ParseJson(R"([["llm-1", 99, 50], ["llm-2", 99, 50]])");
   Handle(other,
@@ -372,7 +373,7 @@
   Handle(other, broken);
   Arrive(other, 2, "/rare/x", "m0");
   Run(milliseconds(200));
-  const std::vector<DispatchRequest> sent = Done<DispatchRequest>(other);
+  const std::vector<DispatchRequest> sent = ActionsOf<DispatchRequest>(other);
   ASSERT_EQ(sent.size(), 1u)
       << "only the stream may be sent, not the new request";
   EXPECT_EQ(sent[0].handle, 1u);
@@ -431,14 +432,14 @@
   lapsed.gone = {"app-1", "app-2"};
   Handle("a", lapsed);
   Arrive("a", 1, "/once/x");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
   Handle("a", StoreReached{});
   Run(seconds(3));  // Not listed again.
   hosts_.at("a").done.clear();
   Arrive("a", 2, "/once/x");
-  EXPECT_TRUE(Done<DispatchRequest>("a").empty());
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
+  EXPECT_TRUE(ActionsOf<DispatchRequest>("a").empty());
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
 }
 
 // A server leaves two seconds after an outage of the store. Treated as a lapsed
@@ -455,7 +456,7 @@
   Handle("a", gone);
   Run(milliseconds(400));
   Arrive("a", 1, "/once/x");
-  EXPECT_TRUE(Done<DispatchRequest>("a").empty());
+  EXPECT_TRUE(ActionsOf<DispatchRequest>("a").empty());
 }
 
 // Without an outage, unlisted and leaving servers get no requests from then on.
@@ -470,7 +471,7 @@
   gone.listed = {leaving};
   Handle("a", gone);
   Arrive("a", 1, "/once/x");
-  EXPECT_TRUE(Done<DispatchRequest>("a").empty());
+  EXPECT_TRUE(ActionsOf<DispatchRequest>("a").empty());
 }
 
 // An engine restarts under its id without models. It still received requests
@@ -489,15 +490,15 @@
   };
   list(now_, "m0");
   Arrive("a", 1, "/rare/x", "m0");
-  ASSERT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  ASSERT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
   list(now_ + seconds(1), "");
   const Json engine = hosts_.at("a").node->StateDump()["engines"]["llm-1"];
   EXPECT_EQ(engine["in_flight_here"], 0);
   Arrive("a", 2, "/rare/x", "m0");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
   // The older entry arrives late.
   list(now_, "m0");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
 }
 
 // A server's entry is overwritten with an unreadable one. The host kept using
@@ -510,7 +511,7 @@
   for (RequestHandle handle = 1; handle <= 8; ++handle) {
     Arrive("a", handle, "/once/x");
   }
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_FALSE(sent.empty());
   for (const DispatchRequest& request : sent) {
     EXPECT_EQ(request.backend, "app-2");
@@ -523,17 +524,18 @@
   Add("a");
   Run(seconds(2));
   Arrive("a", 1, "/once/x");
-  ASSERT_EQ(Done<DispatchRequest>("a").size(), 1u);
-  EXPECT_FALSE(Done<DispatchRequest>("a")[0].is_repeatable);
+  ASSERT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
+  EXPECT_FALSE(ActionsOf<DispatchRequest>("a")[0].is_repeatable);
   AttemptEnded broken;
   broken.handle = 1;
   broken.attempt = 1;
   broken.result = AttemptResult::kBroken;
   Handle("a", broken);
   Run(seconds(1));
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.verdict, Verdict::kMayHaveRun);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.verdict,
+            Verdict::kMayHaveRun);
 }
 
 TEST_F(FleetTest, RepeatableRequestIsRetriedOnceElsewhere) {
@@ -546,7 +548,7 @@
   broken.result = AttemptResult::kBroken;
   Handle("a", broken);
   Run(milliseconds(300));
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_NE(sent[0].backend, sent[1].backend);
   EXPECT_TRUE(sent[0].has_retries);
@@ -563,7 +565,7 @@
   int failures = 0;
   for (RequestHandle handle = 1; handle <= 8; ++handle) {
     Arrive("a", handle, "/once/x");
-    if (Done<DispatchRequest>("a").back().backend != "app-1") continue;
+    if (ActionsOf<DispatchRequest>("a").back().backend != "app-1") continue;
     AttemptEnded refused;
     refused.handle = handle;
     refused.attempt = 1;
@@ -573,7 +575,7 @@
   }
   ASSERT_GE(failures, 2);
   Run(milliseconds(500));
-  EXPECT_TRUE(Done<RefuseRequest>("a").empty());
+  EXPECT_TRUE(ActionsOf<RefuseRequest>("a").empty());
 }
 
 // An engine rejects a request while it unloads the model, and then loads it
@@ -592,7 +594,7 @@
   full.result = AttemptResult::kFull;
   Handle("a", full);
   Run(milliseconds(500));
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_EQ(sent[1].backend, "llm-1");
 }
@@ -608,11 +610,11 @@
   Handle("a", RuleSetRead{9, rules});
   Arrive("a", 1, "/rare/x", "m1");
   const TimePoint asked = now_;
-  while (Done<RefuseRequest>("a").empty()) {
+  while (ActionsOf<RefuseRequest>("a").empty()) {
     Run(milliseconds(25));
     ASSERT_LT(now_ - asked, seconds(2));
   }
-  const Refusal refusal = Done<RefuseRequest>("a")[0].refusal;
+  const Refusal refusal = ActionsOf<RefuseRequest>("a")[0].refusal;
   EXPECT_EQ(refusal.verdict, Verdict::kNotRun);
   EXPECT_GE(refusal.retry_after, seconds(1));
 }
@@ -766,7 +768,7 @@
   broken.can_resume = true;
   Handle("a", broken);
   Run(milliseconds(300));
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_NE(sent[0].backend, sent[1].backend);
   EXPECT_TRUE(sent[1].resume);
@@ -780,10 +782,10 @@
   Arrive("a", 1, "/rare/x", "m1");
   Handle("a", DrainRequested{});
   Run(seconds(7));
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
-  EXPECT_GT(Done<RefuseRequest>("a")[0].refusal.retry_after, Duration{0});
-  EXPECT_EQ(Done<Drained>("a").size(), 1u);
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
+  EXPECT_GT(ActionsOf<RefuseRequest>("a")[0].refusal.retry_after, Duration{0});
+  EXPECT_EQ(ActionsOf<Drained>("a").size(), 1u);
 }
 
 // The lease of a draining host must pass on without the heartbeat timeout.
@@ -810,8 +812,8 @@
   Handle("a", RuleSetRead{5, newer});
   Handle("a", RuleSetRead{3, *ParseJson(kRules)});
   Arrive("a", 1, "/once/x");
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.reason,
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.reason,
             RefusalReason::kRefusedByRule);
 }
 
@@ -821,25 +823,25 @@
   Add("a");
   Run(seconds(1));
   Arrive("a", 1, "/unknown");
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.reason,
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.reason,
             RefusalReason::kRefusedByRule);
   hosts_.at("a").is_cut_from_store = true;
   Run(NewsBudget::Within(seconds(2)).most_age() + milliseconds(25));
   Arrive("a", 2, "/unknown");
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 2u);
-  const Refusal refusal = Done<RefuseRequest>("a")[1].refusal;
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 2u);
+  const Refusal refusal = ActionsOf<RefuseRequest>("a")[1].refusal;
   EXPECT_EQ(refusal.reason, RefusalReason::kRulesMayBeOld);
   EXPECT_EQ(refusal.verdict, Verdict::kNotRun);
   EXPECT_GT(refusal.retry_after, Duration{0});
   // Requests that match a rule are still served.
   Arrive("a", 3, "/once/x");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
   hosts_.at("a").is_cut_from_store = false;
   Run(milliseconds(100));
   Arrive("a", 4, "/unknown");
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 3u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[2].refusal.reason,
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 3u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[2].refusal.reason,
             RefusalReason::kRefusedByRule);
 }
 
@@ -848,7 +850,7 @@
   Run(seconds(1));
   Handle("a", RuleSetRead{5, Json{{"rules", 3}}});
   Arrive("a", 1, "/once/x");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
 }
 
 }  // namespace
