--- a/node/fleet_manager.cc
+++ b/node/fleet_manager.cc
@@ -1,10 +1,11 @@
+#include "node/fleet_manager.h"
+
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
 
 #include "core/event_log.h"
 #include "core/hash.h"
-#include "node/fleet_manager.h"
 
 namespace applehall {
 namespace {
--- a/tests/node/fleet_test.cc
+++ b/tests/node/fleet_test.cc
@@ -144,9 +144,10 @@
                             .records = "records",
                             .as_of = now_ - seconds(2)});
   ASSERT_EQ(pending_.size(), 1u);
-  const auto& told = std::get<PeerMessageReceived>(pending_[0].second);
-  ASSERT_EQ(told.message.type, PeerMessageType::kStoreNews);
-  EXPECT_GE(told.message.body["known"]["servers"][1].get<int64_t>(), 1'900'000);
+  const auto& relayed = std::get<PeerMessageReceived>(pending_[0].second);
+  ASSERT_EQ(relayed.message.type, PeerMessageType::kStoreNews);
+  EXPECT_GE(relayed.message.body["known"]["servers"][1].get<int64_t>(),
+            1'900'000);
 }
 
 // The owner of engines that check no tokens dies. The next one must wait until
