--- a/node/fleet_manager.cc
+++ b/node/fleet_manager.cc
@@ -67,7 +67,7 @@
 
 // ---- Listing ----
 
-void FleetManager::HandleServerList(const ServersListed& event) {
+void FleetManager::HandleServerList(const ServerListRead& event) {
   if (servers_.empty() && !event.listed.empty()) lease_.RecordFirstListing();
   std::vector<std::string> gone = event.gone;
   if (event.is_whole) {
@@ -104,7 +104,8 @@
   // While the store is unavailable, listings of live servers lapse too.
   // Removing the servers would refuse requests until the listings are renewed.
   const bool was_unavailable =
-      context_.IsLogDown() || context_.now - context_.log_back_at < kRelistTime;
+      context_.IsLogDown() ||
+      context_.now - context_.log_recovered_at < kRelistTime;
   for (const std::string& id : gone) {
     if (!servers_.contains(id)) continue;
     if (was_unavailable) {
@@ -137,7 +138,7 @@
   // leaves in the two seconds after it must be removed as fast as at any other
   // time.
   if (departing_.empty() || context_.IsLogDown() ||
-      context_.now - context_.log_back_at < kRelistTime) {
+      context_.now - context_.log_recovered_at < kRelistTime) {
     return;
   }
   const std::set<std::string> due = std::move(departing_);
@@ -222,7 +223,7 @@
   planner_->SetServers(servers_, context_.now);
   planned_states_.clear();
   shared_plans_.clear();
-  quarantine_.RestartRows(last_update_);
+  quarantine_.RenumberRows(last_update_);
   quotas_.StartPlanning();
   limits_.StartPlanning(last_update_);
   readers_.Restart(context_.now);
@@ -234,7 +235,7 @@
   // the address to report to.
   FleetPeer& former = peers_[resigned_owner_.host];
   former.address = resigned_owner_.address;
-  former.heard_at = context_.now;
+  former.last_report_at = context_.now;
   resigned_owner_ = {};
 }
 
@@ -250,14 +251,14 @@
   if (!may_give_up || !lease_.IsUnconfirmed()) return false;
   return std::any_of(peers_.begin(), peers_.end(), [this](const auto& item) {
     return item.second.can_read_store &&
-           context_.now - item.second.heard_at <= kReaderSilence;
+           context_.now - item.second.last_report_at <= kMaxReaderSilence;
   });
 }
 
 // Gives up the lease when this host drains or can no longer confirm it, once no
 // order is pending.
 void FleetManager::HandOver() {
-  if (!planner_ || !planner_->IsQuiet()) return;
+  if (!planner_ || !planner_->IsIdle()) return;
   if (context_.is_draining) {
     AnnounceResignation();
     lease_.Release();
@@ -339,9 +340,9 @@
   body["d"] = context_.settings.data_centre;
   body["c"] = context_.settings.cpu_share;
   const double link = context_.settings.link_mbps;
-  if (link > 0 && link < kReaderLink) body["b"] = link;
+  if (link > 0 && link < kWideLinkMbps) body["b"] = link;
   body["s"] = CanReadStore();
-  Json ends = quarantine_.TakeReportRows(lease_.NewestOwner().token);
+  Json ends = quarantine_.BuildReportRows(lease_.NewestOwner().token);
   if (!ends.is_null()) body[kEndRows] = std::move(ends);
   Json usage = quotas_.ReportRows();
   if (!usage.empty()) body[kQuotaRows] = std::move(usage);
@@ -357,7 +358,7 @@
   if (!planner_) return;
   FleetPeer& peer = peers_[host];
   peer.address = FieldOr<std::string>(body, "p", "");
-  peer.heard_at = context_.now;
+  peer.last_report_at = context_.now;
   peer.data_centre = FieldOr<std::string>(body, "d", "");
   peer.cpu_share = FieldOr<double>(body, "c", 0.0);
   peer.link_mbps = FieldOr<double>(body, "b", 0.0);
@@ -365,7 +366,7 @@
   const Json missed = body.value("m", Json::array());
   if (missed.is_array() && missed.size() == 2 && missed[0] == lease_.token() &&
       missed[1].is_number_unsigned()) {
-    peer.sent_news = std::min(peer.sent_news, missed[1].get<uint64_t>());
+    peer.sent_change = std::min(peer.sent_change, missed[1].get<uint64_t>());
     peer.is_urgent = true;
   }
   if (body.contains(kEndRows)) {
@@ -375,7 +376,7 @@
   if (body.contains(kQuotaRows)) {
     quotas_.TakeReport(host, peer.data_centre, body[kQuotaRows]);
   }
-  limits_.NoteHost(host);
+  limits_.RecordHostContact(host);
   if (body.contains(kLimitRows)) {
     limits_.TakeReport(host, body[kLimitRows], servers_);
   }
@@ -409,11 +410,11 @@
   quarantine_.NumberRows(last_update_);
   limits_.NumberRows(last_update_);
   for (const auto& [id, server] : servers_) {
-    const uint64_t version = planner_->VersionOf(id);
+    const uint64_t version = planner_->StateVersion(id);
     PlannedState& planned = planned_states_[id];
     if (version == 0 || planned.version == version) continue;
     planned.version = version;
-    std::vector<std::string> ready = planner_->ReadyOn(id);
+    std::vector<std::string> ready = planner_->ReadyTargetsOf(id);
     std::vector<std::string>& announced = announced_[id];
     const bool is_announced = planned.update != 0 && announced == ready;
     // Sent again if hosts report: one may still wait for a target that is
@@ -438,7 +439,7 @@
 }
 
 void FleetManager::LogNotes() {
-  for (const PlacementNote& note : planner_->TakeNotes()) {
+  for (const PlacementEvent& note : planner_->TakeEvents()) {
     context_.metrics.Count(
         absl::StrCat("placement_total{event=\"", note.event, "\"}"));
     if (note.event == "load_ready") context_.metrics.Observe("load", note.took);
@@ -456,9 +457,9 @@
     ApplyLoads(SumLoads());
   }
   std::erase_if(peers_, [this](const auto& item) {
-    return context_.now - item.second.heard_at > kPeerTtl;
+    return context_.now - item.second.last_report_at > kPeerTtl;
   });
-  context_.fleet_hosts = static_cast<int>(peers_.size()) + 1;
+  context_.entry_host_count = static_cast<int>(peers_.size()) + 1;
   for (auto& [host, peer] : peers_) {
     const bool is_urgent = peer.is_urgent || !peer.has_plan;
     if (!is_urgent && peer.waiting.empty()) continue;
@@ -500,12 +501,12 @@
   for (auto& [host, peer] : peers_) {
     if (peer.data_centre != data_centre || !peer.has_plan) continue;
     action.peers.push_back({host, peer.address});
-    peer.sent_news = last_update_;
+    peer.sent_change = last_update_;
   }
   action.message.type = PeerMessageType::kFleetPlan;
   action.message.body = PlanBody(data_centre, state.update);
   action.message.body["l"] = LoadsToJson(loads_);
-  const PeerAddress backup = readers_.Backup(
+  const PeerAddress backup = readers_.SelectBackup(
       data_centre, ChooseReader(data_centre).host, context_.now);
   action.message.body["b"] = Json::array({backup.host, backup.address});
   state = {context_.now, last_update_};
@@ -514,7 +515,8 @@
 
 bool FleetManager::CanReadStore() const {
   return !context_.is_draining && !context_.log_failed &&
-         context_.now - context_.news.AsOf() <= context_.settings.news.trust;
+         context_.now - context_.news.OldestFreshness() <=
+             context_.settings.news.max_staleness;
 }
 
 // Sums the load of each engine over all hosts: a host with a request or two
@@ -523,8 +525,8 @@
 EngineLoads FleetManager::SumLoads() const {
   EngineLoads busy;
   for (const auto& [id, server] : servers_) {
-    const EngineLoad load{planner_->RequestsAt(id),
-                          planner_->ArrivalsAt(id, context_.now)};
+    const EngineLoad load{planner_->RunningRequestCount(id),
+                          planner_->ArrivalRate(id, context_.now)};
     if (load.running >= kMinReportedLoad * server.slots ||
         load.arrivals >= kMinReportedArrivals * server.slots) {
       busy[id] = load;
@@ -553,7 +555,7 @@
 
 // Returns the host that reads the store for `data_centre`: the owner for its
 // own if that is small, as it reads anyway; else the best live host
-// (ReaderChoice).
+// (ReaderSelector).
 PeerAddress FleetManager::ChooseReader(const std::string& data_centre) {
   if (!context_.settings.policies.Has(Policy::kStoreRelay)) return {};
   const bool is_own = data_centre == context_.settings.data_centre;
@@ -563,13 +565,16 @@
       CountPeersIn(data_centre) <= kMaxOwnFollowers) {
     return {context_.settings.self.host, context_.settings.peer_address};
   }
-  return readers_.Reader(data_centre, context_.now);
+  return readers_.SelectReader(data_centre, context_.now);
 }
 
 Json FleetManager::PlanBody(const std::string& data_centre, uint64_t since) {
-  Json body{{"k", lease_.token()},       {"p", context_.settings.peer_address},
-            {"e", Json::array()},        {"w", Json::array()},
-            {"n", context_.fleet_hosts}, {"f", since},
+  Json body{{"k", lease_.token()},
+            {"p", context_.settings.peer_address},
+            {"e", Json::array()},
+            {"w", Json::array()},
+            {"n", context_.entry_host_count},
+            {"f", since},
             {"u", last_update_}};
   // A new owner assigns no reader before it has reports from the fleet, unless
   // the candidate's link is wide. Without this field hosts keep their reader.
@@ -591,17 +596,17 @@
 }
 
 void FleetManager::SendPlan(const std::string& host, FleetPeer& peer) {
-  Json body = PlanBody(peer.data_centre, peer.sent_news);
+  Json body = PlanBody(peer.data_centre, peer.sent_change);
   if (!peer.has_plan) body["l"] = LoadsToJson(loads_);
   peer.has_plan = true;
   peer.sent_at = context_.now;
   peer.is_urgent = false;
-  peer.sent_news = last_update_;
+  peer.sent_change = last_update_;
   for (const std::string& target : peer.waiting) {
     const DemandAnswer answer = planner_->Answer(target, context_.now);
     body["w"].push_back(Json::array({target, static_cast<int>(answer.status),
                                      ToMillis(answer.expected),
-                                     static_cast<int>(answer.put_off)}));
+                                     static_cast<int>(answer.deferral)}));
   }
   Json ack = quarantine_.TakeAckFor(host);
   if (!ack.is_null()) body[kEndRows] = std::move(ack);
@@ -621,7 +626,7 @@
   }
   lease_.RecordHeartbeat({host, FieldOr<std::string>(body, "p", "")}, token);
   if (body.contains("l")) ApplyLoads(LoadsFromJson(body["l"]));
-  context_.fleet_hosts = std::max(1, FieldOr<int>(body, "n", 1));
+  context_.entry_host_count = std::max(1, FieldOr<int>(body, "n", 1));
   ReadPeerAddress(body, "r", reader_);
   ReadPeerAddress(body, "b", backup_reader_);
   ApplyUpdates(body, token);
@@ -643,11 +648,11 @@
     }
     const int reason =
         row.size() > 3 && row[3].is_number_integer() ? row[3].get<int>() : 0;
-    const int put_off =
-        std::clamp(reason, 0, static_cast<int>(PutOff::kEngineBusy));
+    const int deferral =
+        std::clamp(reason, 0, static_cast<int>(Deferral::kEngineBusy));
     answers.push_back(
         {row[0].get<std::string>(), "", static_cast<DemandStatus>(status),
-         milliseconds(row[2].get<int64_t>()), static_cast<PutOff>(put_off)});
+         milliseconds(row[2].get<int64_t>()), static_cast<Deferral>(deferral)});
   }
   return answers;
 }
@@ -690,7 +695,7 @@
   quarantine_.RunTick(planner_ != nullptr, lease_.HadContactWithin(kPlanTtl));
   quotas_.RunTick(reader_);
   limits_.RunTick(lease_.Owner(), lease_.NewestOwner().token,
-                  lease_.HadContactWithin(kOwnerTrust));
+                  lease_.HadContactWithin(kOwnerContactTtl));
   if (planner_) {
     const bool has_updates = HasNewDemand();
     if (has_updates || context_.now - reported_at_ >= kHeartbeatInterval) {
--- a/node/fleet_manager.h
+++ b/node/fleet_manager.h
@@ -9,12 +9,12 @@
 #include <vector>
 
 #include "node/engine_loads.h"
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 #include "node/node_context.h"
 #include "node/placement_lease.h"
-#include "node/quarantine_keeper.h"
-#include "node/quota_keeper.h"
-#include "node/reader_choice.h"
+#include "node/quarantine_manager.h"
+#include "node/quota_manager.h"
+#include "node/reader_selector.h"
 #include "node/store_relay.h"
 #include "placement/fleet_planner.h"
 
@@ -30,8 +30,8 @@
 // serving the models that the listing shows as loaded.
 class FleetManager {
  public:
-  FleetManager(NodeContext& context, QuarantineKeeper& quarantine,
-               QuotaKeeper& quotas, LimitKeeper& limits)
+  FleetManager(NodeContext& context, QuarantineManager& quarantine,
+               QuotaManager& quotas, LimitManager& limits)
       : context_(context),
         quarantine_(quarantine),
         quotas_(quotas),
@@ -39,7 +39,7 @@
         lease_(context) {}
 
   // ---- Events from the platform and engines. Not thread-safe. ----
-  void HandleServerList(const ServersListed& event);
+  void HandleServerList(const ServerListRead& event);
   void HandleCatalogueChange();
   void HandleLeaseRead(const LeaseRead& event);
   void TakeAppendEnd(const LeaseAppendEnded& event);
@@ -126,9 +126,9 @@
   bool AcceptIncarnation(const ListedServer& server);
 
   NodeContext& context_;
-  QuarantineKeeper& quarantine_;
-  QuotaKeeper& quotas_;
-  LimitKeeper& limits_;
+  QuarantineManager& quarantine_;
+  QuotaManager& quotas_;
+  LimitManager& limits_;
   EngineList servers_;
   // Servers whose listings lapsed during an outage of the store; they may be
   // listed again soon.
@@ -150,7 +150,7 @@
   PlacementLease lease_;
   std::unique_ptr<FleetPlanner> planner_;
   FleetPeers peers_;
-  ReaderChoice readers_{peers_};
+  ReaderSelector readers_{peers_};
   std::map<std::string, SharedPlanState> shared_plans_;  // By data centre.
   std::string
       last_shared_centre_;  // Data centre of the last shared plan; they rotate.
--- a/node/gossip.cc
+++ b/node/gossip.cc
@@ -101,7 +101,7 @@
   }
   UpdateOwnSummary();
   const bool is_urgent = HasUrgentUpdates();
-  const Duration interval = is_urgent ? context_.settings.gossip_least_interval
+  const Duration interval = is_urgent ? context_.settings.min_gossip_interval
                                       : context_.settings.gossip_interval;
   bool has_sent_all = true;
   for (const std::string& peer : peers_) {
@@ -235,7 +235,7 @@
 void Gossip::SendControl(const std::string& peer, PeerState& state) {
   if (!context_.control.has_base()) return;
   if (context_.now - state.control_sent_at <
-      context_.settings.gossip_least_interval) {
+      context_.settings.min_gossip_interval) {
     return;
   }
   const std::optional<LogBatch> records =
--- a/node/group_manager.cc
+++ b/node/group_manager.cc
@@ -189,7 +189,7 @@
       // until its lease expired. It sends no more orders; the release follows
       // when none is pending.
       held->second->Stop();
-      for (int i = held->second->TakeOpenStoreLoads(); i > 0; --i) {
+      for (int i = held->second->ReleaseStoreLoads(); i > 0; --i) {
         store_.End();
       }
       retiring_.push_back(std::move(held->second));
@@ -272,7 +272,7 @@
 }
 
 void GroupManager::LogNotes(EngineOwner& owner) {
-  for (const PlacementNote& note : owner.TakeNotes()) {
+  for (const PlacementEvent& note : owner.TakeEvents()) {
     context_.metrics.Count(
         absl::StrCat("placement_total{event=\"", note.event, "\"}"));
     if (note.event == "load_ready" && note.took > Duration::zero()) {
@@ -397,12 +397,12 @@
       context_.Emit(SendOrder{std::move(order.engine), std::move(order.address),
                               std::move(order.order)});
     }
-    if (owner->IsQuiet(context_.now) && !context_.IsLogDown()) release(*owner);
+    if (owner->IsIdle(context_.now) && !context_.IsLogDown()) release(*owner);
     return false;
   });
   if (!context_.is_draining) return;
   for (auto& [group, owner] : owners_) {
-    if (owner->IsQuiet(context_.now) && !context_.IsLogDown()) release(*owner);
+    if (owner->IsIdle(context_.now) && !context_.IsLogDown()) release(*owner);
   }
 }
 
@@ -460,7 +460,7 @@
   for (const auto& owner : retiring_) {
     json["retiring"].push_back(owner->ToJson(context_.now));
   }
-  json["store"] = Json{{"loads_saved", store_.loads_saved(context_.now)},
+  json["store"] = Json{{"loads_saved", store_.available_loads(context_.now)},
                        {"slots", store_.slots(context_.now)},
                        {"slots_in_use", store_.slots_in_use()}};
   for (const auto& [group, received] : heartbeats_) {
--- a/node/placement_lease.cc
+++ b/node/placement_lease.cc
@@ -233,7 +233,7 @@
   // loads for the two seconds of a takeover.
   const TimePoint last_contact =
       std::max({last_contact_at_, record_seen_at_, first_listed_at_,
-                context_.log_back_at});
+                context_.log_recovered_at});
   const Duration timeout = is_free ? Duration{0} : kOwnerTimeout;
   if (context_.now - last_contact < timeout + ClaimStagger()) return;
   if (!can_place) return;  // Another host may know servers to plan for.
--- a/node/request_decider.h
+++ b/node/request_decider.h
@@ -7,7 +7,7 @@
 #include "node/fleet_manager.h"
 #include "node/node_context.h"
 #include "node/open_request.h"
-#include "node/quota_keeper.h"
+#include "node/quota_manager.h"
 
 namespace applehall {
 
@@ -15,7 +15,8 @@
 // the service or model it needs, and whether the team's quota bears it.
 class RequestDecider {
  public:
-  RequestDecider(NodeContext& context, FleetManager& fleet, QuotaKeeper& quotas)
+  RequestDecider(NodeContext& context, FleetManager& fleet,
+                 QuotaManager& quotas)
       : context_(context), fleet_(fleet), quotas_(quotas) {}
 
   // Fills in rule, team, deadline and target; a refusal if any of them says so.
@@ -40,7 +41,7 @@
 
   NodeContext& context_;
   FleetManager& fleet_;
-  QuotaKeeper& quotas_;
+  QuotaManager& quotas_;
 };
 
 }  // namespace applehall
--- a/tests/node/early_request_test.cc
+++ b/tests/node/early_request_test.cc
@@ -49,7 +49,7 @@
   Start("a");
   Arrive("a", 1, "/once/x");
   EXPECT_TRUE(Refused().empty());
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(milliseconds(50));
   ASSERT_EQ(Refused().size(), 1u);
   EXPECT_EQ(Refused()[0].refusal.reason, RefusalReason::kNoRuleSet);
@@ -70,7 +70,7 @@
 TEST_F(EarlyRequestTest, CallerThatLeavesIsForgotten) {
   Start("a");
   Arrive("a", 1, "/once/x");
-  Handle("a", CallerGone{1});
+  Handle("a", CallerDisconnected{1});
   LoadConfiguration("a");
   Run(milliseconds(100));
   EXPECT_EQ(Sent(), 0u);
--- a/tests/node/fleet_test.cc
+++ b/tests/node/fleet_test.cc
@@ -138,11 +138,11 @@
   hosts_.at("b").is_down = true;
   pending_.clear();
   Handle("a", StoreReached{});
-  Handle("a", StoreNewsRead{.topic = "servers",
-                            .from = 0,
-                            .next = 1,
-                            .records = "records",
-                            .as_of = now_ - seconds(2)});
+  Handle("a", StoreUpdatesRead{.topic = "servers",
+                               .from = 0,
+                               .next = 1,
+                               .records = "records",
+                               .as_of = now_ - seconds(2)});
   ASSERT_EQ(pending_.size(), 1u);
   const auto& relayed = std::get<PeerMessageReceived>(pending_[0].second);
   ASSERT_EQ(relayed.message.type, PeerMessageType::kStoreNews);
@@ -204,7 +204,7 @@
   const std::vector<std::string> first = Holders();
   for (auto& [name, host] : hosts_) {
     host.is_cut_from_store = true;
-    Handle(name, LogFailed{});
+    Handle(name, LogUnavailable{});
   }
   Run(seconds(4));
   for (auto& [name, host] : hosts_) host.is_cut_from_store = false;
@@ -240,17 +240,17 @@
   for (const char* name : {"d", "e", "f"}) Add(name, "quay");
   const auto read_all = [&] {
     for (const auto& [name, host] : hosts_) {
-      if (!host.node->relay().reads_itself()) continue;
+      if (!host.node->relay().is_reading_store()) continue;
       Handle(name, StoreReached{});
       Handle(name,
-             StoreNewsRead{
+             StoreUpdatesRead{
                  .topic = "servers", .from = 5, .next = 5, .as_of = now_});
     }
   };
   const auto readers = [&] {
     std::vector<std::string> names;
     for (const auto& [name, host] : hosts_) {
-      if (!host.is_down && host.node->relay().reads_itself()) {
+      if (!host.is_down && host.node->relay().is_reading_store()) {
         names.push_back(name);
       }
     }
@@ -270,7 +270,7 @@
   const std::string cut = other_reader();
   for (int i = 0; i < 20; ++i) {
     read_all();
-    Handle(cut, LogFailed{});
+    Handle(cut, LogUnavailable{});
     Run(milliseconds(200));
   }
   ASSERT_EQ(readers().size(), 2u);
@@ -407,7 +407,7 @@
   for (int i = 0; i < 20; ++i) {
     Run(milliseconds(250));
     for (auto& [name, host] : hosts_) {
-      if (name != holder) Handle(name, LogFailed{});
+      if (name != holder) Handle(name, LogUnavailable{});
     }
   }
   for (auto& [name, host] : hosts_) {
@@ -427,9 +427,9 @@
 TEST_F(FleetTest, ListingsLapsedInOutageAreKeptForAWhile) {
   Add("a");
   Run(seconds(2));
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(seconds(1));
-  ServersListed lapsed;
+  ServerListRead lapsed;
   lapsed.gone = {"app-1", "app-2"};
   Handle("a", lapsed);
   Arrive("a", 1, "/once/x");
@@ -448,11 +448,11 @@
 TEST_F(FleetTest, ServerLeavingSoonAfterOutageIsRemovedInTime) {
   Add("a");
   Run(seconds(2));
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(seconds(3));
   Handle("a", StoreReached{});
   Run(milliseconds(1900));
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"app-1", "app-2"};
   Handle("a", gone);
   Run(milliseconds(400));
@@ -465,7 +465,7 @@
   Add("a");
   Run(seconds(2));
   Handle("a", StoreReached{});
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"app-1"};
   ListedServer leaving = Server("app-2", "app");
   leaving.is_leaving = true;
@@ -481,7 +481,7 @@
 TEST_F(FleetTest, RestartedServerHasNoEarlierState) {
   Add("a");
   const auto list = [&](TimePoint started_at, const std::string& model) {
-    ServersListed listed;
+    ServerListRead listed;
     ListedServer engine = Server("llm-1", "llm", "llm/m0");
     if (model.empty()) engine.models.clear();
     engine.started_at = started_at;
@@ -506,7 +506,7 @@
 // the previous entry; it must remove that server and no other.
 TEST_F(FleetTest, ServerWithUnusableEntryGetsNoRequests) {
   Add("a");
-  ServersListed damaged;
+  ServerListRead damaged;
   damaged.unusable = {"app-1", "never-seen"};
   Handle("a", damaged);
   for (RequestHandle handle = 1; handle <= 8; ++handle) {
@@ -584,7 +584,7 @@
 TEST_F(FleetTest, RejectedRequestMayReturnToSameEngine) {
   Add("a");
   Run(seconds(2));
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"llm-2"};
   Handle("a", StoreReached{});
   Handle("a", gone);
@@ -683,7 +683,7 @@
     for (const RequestHandle handle : overdue) {
       ++cancelled_;
       RemoveFromEngines(handle);
-      Handle(arrived_[handle].first, CallerGone{handle});
+      Handle(arrived_[handle].first, CallerDisconnected{handle});
       arrived_.erase(handle);
     }
   }
@@ -828,7 +828,7 @@
   EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.reason,
             RefusalReason::kRefusedByRule);
   hosts_.at("a").is_cut_from_store = true;
-  Run(NewsBudget::Within(seconds(2)).most_age() + milliseconds(25));
+  Run(FreshnessBudget::Within(seconds(2)).max_age() + milliseconds(25));
   Arrive("a", 2, "/unknown");
   ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 2u);
   const Refusal refusal = ActionsOf<RefuseRequest>("a")[1].refusal;
