--- a/benchmarks/decision_benchmark.cc
+++ b/benchmarks/decision_benchmark.cc
@@ -1,5 +1,5 @@
-// Slopes of the decision parts: time and memory for each unit of state, at
-// sizes up to the target's. tools/capacity turns them into docs/CAPACITY.md.
+// Benchmarks of the decision code: time and memory by the size of its state, up
+// to the target size. tools/capacity generates docs/CAPACITY.md from them.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -90,11 +90,11 @@
   const Json document = RulesDocument(state.range(0));
   Json changed = document;
   changed["rules"][state.range(0) / 2]["then"]["worth"] = 99;
-  const Json there = RuleSetDelta::Between(document, changed).ToJson();
-  const Json back = RuleSetDelta::Between(changed, document).ToJson();
+  const Json forward = RuleSetDelta::Between(document, changed).ToJson();
+  const Json backward = RuleSetDelta::Between(changed, document).ToJson();
   state.counters["bytes"] =
       static_cast<double>(PublishRecord("0190a1b2-c3d4-7e5f-8a6b-7c8d9e0f1a2b",
-                                        1, Json{{"delta", there}})
+                                        1, Json{{"delta", forward}})
                               .dump()
                               .size());
   RuleBook book;
@@ -102,7 +102,7 @@
   LogOffset version = 1;
   for (auto _ : state) {
     const Json body{{"base", version},
-                    {"delta", version % 2 == 1 ? there : back}};
+                    {"delta", version % 2 == 1 ? forward : backward}};
     if (book.Publish(version + 1, body) != RuleBook::Result::kAccepted) {
       state.SkipWithError("the change was refused");
       return;
@@ -236,7 +236,7 @@
 }
 BENCHMARK(UpdateHosts)->Arg(500)->Arg(1500)->Arg(4000)->Arg(12000);
 
-// An owner with 16 engines and this many models known to it.
+// Owner of 16 engines; the argument is the number of models.
 void OwnerDecides(benchmark::State& state) {
   const size_t before = HeapBytes();
   std::map<std::string, CatalogueEntry> catalogue;
@@ -293,8 +293,8 @@
 }
 BENCHMARK(OwnerDecides)->Arg(20)->Arg(50)->Arg(100)->Arg(200);
 
-// The owner of this many engines, with three models in the memory of each and
-// nine on its disk, all asked for; one engine reports before each decision.
+// The argument is the number of engines. Each has three models in memory and
+// nine on disk, all in demand; one engine reports before each decision.
 void PlanFleet(benchmark::State& state) {
   const int64_t engines = state.range(0);
   const int64_t models = engines * 3;
--- a/main/applehall.cc
+++ b/main/applehall.cc
@@ -1,4 +1,4 @@
-// The operator's command line.
+// Command line tool of operators: manages rule sets and inspects entry hosts.
 
 #include <CLI/CLI.hpp>
 #include <functional>
@@ -12,7 +12,7 @@
   using applehall::CommandExit;
   using applehall::OutputFormat;
 
-  CLI::App app{"applehall: publish rule sets and see what they decided"};
+  CLI::App app{"applehall: manage rule sets and inspect entry hosts"};
   app.require_subcommand(1);
   app.fallthrough();
   OutputFormat format = OutputFormat::kText;
@@ -34,7 +34,8 @@
   rules->require_subcommand(1);
   rules->fallthrough();
 
-  CLI::App* check = rules->add_subcommand("check", "Find what is wrong");
+  CLI::App* check =
+      rules->add_subcommand("check", "Check a rule set for errors");
   check->add_option("FILE", file, "The rule set")->required();
   check->add_option("--store", store,
                     "Weight store IP:PORT, to check models against");
@@ -42,12 +43,14 @@
     run = [&] { return applehall::CheckRulesFile(file, store, format); };
   });
 
-  CLI::App* explain = rules->add_subcommand("explain", "Say it in English");
+  CLI::App* explain =
+      rules->add_subcommand("explain", "Describe a rule set in English");
   explain->add_option("FILE", file, "The rule set")->required();
   explain->callback(
       [&] { run = [&] { return applehall::ExplainRulesFile(file, format); }; });
 
-  CLI::App* diff = rules->add_subcommand("diff", "What differs, in English");
+  CLI::App* diff = rules->add_subcommand(
+      "diff", "Describe in English how two rule sets differ");
   diff->add_option("BEFORE", file, "The older rule set")->required();
   diff->add_option("AFTER", other, "The newer rule set")->required();
   diff->callback([&] {
@@ -55,7 +58,7 @@
   });
 
   CLI::App* test = rules->add_subcommand(
-      "test", "Which rule decides a request, and why not the earlier ones");
+      "test", "Show which rule matches a request and why earlier ones do not");
   test->add_option("FILE", file, "The rule set")->required();
   test->add_option("REQUEST", other,
                    "JSON: caller, method, path, model or service, headers, "
@@ -65,9 +68,11 @@
     run = [&] { return applehall::TestRulesFile(file, other, format); };
   });
 
-  CLI::App* publish = rules->add_subcommand("publish", "Put it into force");
+  CLI::App* publish = rules->add_subcommand("publish", "Publish a rule set");
   publish->add_option("FILE", file, "The rule set")->required();
-  publish->add_option("--base", base, "The version it changes; 0 for the first")
+  publish
+      ->add_option("--base", base,
+                   "Version the rule set is based on; 0 for the first")
       ->required();
   publish->add_option("--log", log, "Log service IP:PORT")->required();
   publish->add_option("--store", store,
@@ -78,7 +83,7 @@
     };
   });
 
-  CLI::App* show = rules->add_subcommand("show", "What is in force");
+  CLI::App* show = rules->add_subcommand("show", "Show the rule set in force");
   show->add_option("--log", log, "Log service IP:PORT")->required();
   show->callback(
       [&] { run = [&] { return applehall::ShowRules(log, format); }; });
@@ -89,29 +94,32 @@
       [&] { run = [&] { return applehall::ShowState(host, format); }; });
 
   CLI::App* decisions =
-      app.add_subcommand("decisions", "Recent decisions and their rules");
+      app.add_subcommand("decisions", "List recent decisions with their rules");
   decisions->add_option("HOST", host, "Operator address IP:PORT")->required();
-  decisions->add_option("--request", request, "Only this request");
+  decisions->add_option("--request", request,
+                        "Only the decisions on this request id");
   decisions->callback([&] {
     run = [&] { return applehall::ShowDecisions(host, request, format); };
   });
 
   std::vector<std::string> log_files;
   CLI::App* why = app.add_subcommand(
-      "explain", "What happened to a request, from the logs of all hosts");
-  why->add_option("REQUEST", request, "The request's id")->required();
-  why->add_option("--logs", log_files, "Log files; standard input without them")
+      "explain", "Show the log events that affected a request, from all hosts");
+  why->add_option("REQUEST", request, "Request id")->required();
+  why->add_option("--logs", log_files, "Log files; standard input by default")
       ->check(CLI::ExistingFile);
   why->callback([&] {
     run = [&] { return applehall::ExplainRequest(request, log_files, format); };
   });
 
-  CLI::App* loads = app.add_subcommand("loads", "What each engine holds");
+  CLI::App* loads =
+      app.add_subcommand("loads", "List the models that each engine has ready");
   loads->add_option("HOST", host, "Operator address IP:PORT")->required();
   loads->callback(
       [&] { run = [&] { return applehall::ShowLoads(host, format); }; });
 
-  CLI::App* hosts = app.add_subcommand("hosts", "The hosts a process knows");
+  CLI::App* hosts =
+      app.add_subcommand("hosts", "List the host table of a process");
   hosts->add_option("HOST", host, "Operator address IP:PORT")->required();
   hosts->callback(
       [&] { run = [&] { return applehall::ShowHosts(host, format); }; });
--- a/main/applehall_capacity.cc
+++ b/main/applehall_capacity.cc
@@ -1,4 +1,4 @@
-// Works out docs/CAPACITY.md from recorded slopes; draws its plots.
+// Generates docs/CAPACITY.md and its plots from recorded slopes.
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -16,7 +16,7 @@
 namespace applehall {
 namespace {
 
-// The size of two years from now, by its letter.
+// Target size of the system in two years.
 constexpr double kNodes = 2000;
 constexpr double kEngines = 10000;
 constexpr double kDataCentres = 26;
@@ -29,9 +29,9 @@
 constexpr double kDay = 86400;
 constexpr double kCpuLimit = 0.014;     // Of a core.
 constexpr double kMemoryLimit = 32e6;   // Bytes.
-constexpr double kTrafficLimit = 22e3;  // Bytes a second.
+constexpr double kTrafficLimit = 22e3;  // Bytes per second.
 constexpr double kLogLimit = 300;       // "Several hundred" appends/s.
-// Choices of the design.
+// Parameters of the design.
 constexpr double kRules = 3000;
 constexpr double kEnginesPerGroup = 16;
 constexpr double kCopies = 1.5;         // Of each digest, on sparse links.
@@ -40,7 +40,7 @@
 constexpr double kClaimShare = 0.01;    // Assumed: of all requests.
 constexpr double kKeyWindow = 1800;     // Seconds.
 constexpr double kClaimRangeBytes = 4e6;
-constexpr double kClaimLinger = 0.4;  // Seconds; what the log allows.
+constexpr double kClaimLinger = 0.4;  // Seconds; allowed by the log.
 
 struct Point {
   double size = 0;
@@ -51,7 +51,8 @@
 using Series = std::vector<Point>;
 using Slopes = std::map<std::string, Series>;
 
-// Exponent of the least-squares line through (log size, log value).
+// Returns the exponent of the power law through `series`: the slope of the
+// least-squares line through (log size, log value).
 double Exponent(const Series& series, double Point::*value) {
   double sx = 0;
   double sy = 0;
@@ -69,8 +70,8 @@
   return (n * sxy - sx * sy) / (n * sxx - sx * sx);
 }
 
-// The measured value at `size`: between two points by the power law through
-// them, beyond the last one along it.
+// Interpolates the value at `size` by the power law through the neighbouring
+// points; extrapolates by the outermost two.
 double ValueAt(const Series& series, double Point::*value, double size) {
   size_t i = 1;
   while (i + 1 < series.size() && series[i].size < size) ++i;
@@ -99,7 +100,7 @@
   return slopes;
 }
 
-std::string Number(double value) {
+std::string FormatNumber(double value) {
   char text[64];
   if (value == 0) return "0";
   if (std::abs(value) >= 1e6) {
@@ -142,7 +143,7 @@
     const double keys = kRequestsPerSecond * kClaimShare * kKeyWindow;
     return std::ceil(Bytes("FoldClaim", keys) / kClaimRangeBytes);
   }
-  double Live(const char* key) const { return live_[key].get<double>(); }
+  double LiveFigure(const char* key) const { return live_[key].get<double>(); }
 
   void Introduction() {
     text_ << "# Capacity: the size of two years from now\n\n"
@@ -157,10 +158,12 @@
              "changes a day in force within 6 s, 200 host failures and 1,800 "
              "replacements a day. A node may spend 1.4 % of a core, 32 MB and "
              "22 KB/s on control.\n\n"
-          << "Per data centre that is " << Number(kNodes / kDataCentres)
-          << " nodes and " << Number(kEngines / kDataCentres) << " engines in "
-          << Number(kEngines / kDataCentres / kEnginesPerGroup) << " groups of "
-          << Number(kEnginesPerGroup) << ", each group owned by one node.\n\n";
+          << "Per data centre that is " << FormatNumber(kNodes / kDataCentres)
+          << " nodes and " << FormatNumber(kEngines / kDataCentres)
+          << " engines in "
+          << FormatNumber(kEngines / kDataCentres / kEnginesPerGroup)
+          << " groups of " << FormatNumber(kEnginesPerGroup)
+          << ", each group owned by one node.\n\n";
   }
 
   void SlopeTable() {
@@ -171,20 +174,20 @@
              "exponent | bytes at the largest | exponent |\n"
           << "|---|---|---|---|---|---|---|\n";
     for (const auto& [name, series] : slopes_) {
-      text_ << "| " << name << " | " << Number(series.front().size) << " to "
-            << Number(series.back().size) << " | "
-            << Number(series.front().nanos) << " | "
-            << Number(series.back().nanos) << " | ";
-      Fixed(Exponent(series, &Point::nanos));
-      text_ << " | " << Number(series.back().bytes) << " | ";
-      Fixed(Exponent(series, &Point::bytes));
+      text_ << "| " << name << " | " << FormatNumber(series.front().size)
+            << " to " << FormatNumber(series.back().size) << " | "
+            << FormatNumber(series.front().nanos) << " | "
+            << FormatNumber(series.back().nanos) << " | ";
+      AppendFixed(Exponent(series, &Point::nanos));
+      text_ << " | " << FormatNumber(series.back().bytes) << " | ";
+      AppendFixed(Exponent(series, &Point::bytes));
       text_ << " |\n";
     }
     text_ << "\n![Processor time by size](capacity/time.svg)\n\n"
           << "![State by size](capacity/state.svg)\n\n";
   }
 
-  void Fixed(double value) {
+  void AppendFixed(double value) {
     char text[32];
     std::snprintf(text, sizeof(text), "%.2f", value);
     text_ << text;
@@ -195,8 +198,8 @@
           << "| decision | size | microseconds | within |\n|---|---|---|---|\n";
     const auto row = [&](const char* what, const char* name, double size) {
       const double micros = Nanos(name, size) / 1000;
-      text_ << "| " << what << " | " << Number(size) << " | ";
-      Fixed(micros);
+      text_ << "| " << what << " | " << FormatNumber(size) << " | ";
+      AppendFixed(micros);
       text_ << " | " << (micros <= 20 ? "yes" : "NO") << " |\n";
     };
     row("first matching rule", "MatchRule", kRules);
@@ -210,7 +213,7 @@
     text_ << "\nA rule change copies the set and builds its index anew, so "
              "that matching never waits and never sees half a set: linear in "
              "the rules, "
-          << Number(kRuleChangesPerDay / kDay)
+          << FormatNumber(kRuleChangesPerDay / kDay)
           << " times a second. A plan scans all pairs of idle-time buckets, "
              "once for each use after an idle time, not for each request.\n\n";
   }
@@ -227,28 +230,29 @@
     const auto row = [&](const std::string& role, double bytes,
                          const std::string& messages, double cores,
                          const std::string& mechanism) {
-      text_ << "| " << role << " | " << Number(bytes) << " | " << messages
-            << " | " << Number(cores * 100) << " | " << mechanism << " |\n";
+      text_ << "| " << role << " | " << FormatNumber(bytes) << " | " << messages
+            << " | " << FormatNumber(cores * 100) << " | " << mechanism
+            << " |\n";
       if (role != "claims") {
         memory_ += bytes;
         cpu_ += cores;
       }
     };
     row("rules", Bytes("MatchRule", kRules),
-        Number(rule_rate * Bytes("ApplyRuleChange", kRules)) + " B/s",
+        FormatNumber(rule_rate * Bytes("ApplyRuleChange", kRules)) + " B/s",
         rule_rate * Nanos("ApplyRuleChange", kRules) * 1e-9 +
             requests * Nanos("MatchRule", kRules) * 1e-9,
         "changes of single rules on the log; index by model, service, caller");
     row("admission and routing",
         Bytes("AdmitAndServe", 10000) + Bytes("ChooseEngine", 400),
-        Number(requests) + " requests/s",
+        FormatNumber(requests) + " requests/s",
         requests *
             (Nanos("AdmitAndServe", 10000) + Nanos("ChooseEngine", 400)) * 1e-9,
         "ordered queue per model; two choices on a ring, bounded load");
     row("engine owner (one group)", Bytes("OwnerDecides", 200),
-        Number(kEnginesPerGroup * 2) + " inspections/s",
+        FormatNumber(kEnginesPerGroup * 2) + " inspections/s",
         20 * Nanos("OwnerDecides", 200) * 1e-9 +
-            kEnginesPerGroup * 2 * Live("inspect_us") * 1e-6,
+            kEnginesPerGroup * 2 * LiveFigure("inspect_us") * 1e-6,
         "groups of 16 engines, owned through the log");
     const double full = Bytes("MergeDigest", 400);
     const double load = slopes_.at("MergeDigest").back().load_bytes;
@@ -256,7 +260,7 @@
         kCopies * (digests * load + engines_dc / kRefreshSeconds * full) +
         6 * groups_dc * 16;
     row("membership and digests", Bytes("UpdateHosts", kNodes + engines_dc),
-        Number(traffic_) + " B/s",
+        FormatNumber(traffic_) + " B/s",
         kCopies * digests * Nanos("MergeDigest", 400) * 1e-9 +
             kHostChangesPerDay / kDay *
                 Nanos("UpdateHosts", kNodes + engines_dc) * 1e-9,
@@ -264,15 +268,15 @@
         "only when changed");
     const double keys = kRequestsPerSecond * kClaimShare * kKeyWindow;
     row("claims", Bytes("FoldClaim", keys),
-        Number(kRequestsPerSecond * kClaimShare) + " keys/s (assumed)",
+        FormatNumber(kRequestsPerSecond * kClaimShare) + " keys/s (assumed)",
         kRequestsPerSecond * kClaimShare * Nanos("FoldClaim", 30000) * 1e-9,
         "DOES NOT FIT a host that reads them all: see below");
     row("log reader", 0,
-        Number(rule_rate * Bytes("ApplyRuleChange", kRules)) + " B/s",
+        FormatNumber(rule_rate * Bytes("ApplyRuleChange", kRules)) + " B/s",
         rule_rate * Nanos("FoldOwnership", 650) * 1e-9,
         "two readers a data centre; the rest are told by peers");
-    row("process itself", Live("rss_mb") * 1e6, "-",
-        Live("idle_cpu_percent") / 100,
+    row("process itself", LiveFigure("rss_mb") * 1e6, "-",
+        LiveFigure("idle_cpu_percent") / 100,
         "measured: a whole idle applehalld, its threads and libraries");
     text_ << "\n";
   }
@@ -282,10 +286,11 @@
           << "| what | sum of the roles | limit | fits |\n|---|---|---|---|\n";
     const auto row = [&](const char* what, double value, double limit,
                          const char* unit) {
-      text_ << "| " << what << " | " << Number(value) << " " << unit << " | "
-            << Number(limit) << " " << unit << " | "
+      text_ << "| " << what << " | " << FormatNumber(value) << " " << unit
+            << " | " << FormatNumber(limit) << " " << unit << " | "
             << (value <= limit
-                    ? "yes, " + Number(100 * (1 - value / limit)) + " % left"
+                    ? "yes, " + FormatNumber(100 * (1 - value / limit)) +
+                          " % left"
                     : "NO")
             << " |\n";
     };
@@ -295,29 +300,31 @@
     const double keys = kRequestsPerSecond * kClaimShare * kKeyWindow;
     text_ << "\nMemory above the process itself is counted at 10,000 waiting "
              "requests on one node. Claims are not in the sums. With "
-          << Number(100 * kClaimShare)
+          << FormatNumber(100 * kClaimShare)
           << " % of all requests not repeatable (assumed) and a window of "
-          << Number(kKeyWindow) << " s, all keys take "
-          << Number(Bytes("FoldClaim", keys))
+          << FormatNumber(kKeyWindow) << " s, all keys take "
+          << FormatNumber(Bytes("FoldClaim", keys))
           << "B, which no node may hold. What has to change: "
-          << Number(ClaimRanges())
+          << FormatNumber(ClaimRanges())
           << " claim streams by key range, each read only by the hosts that "
              "write it, 4 MB a range, each with one writer that other hosts "
              "send their claims to. Today's two users have one stream, "
              "which every host reads. Not built.\n\n"
           << "A chunk of a stream is data, not control. "
-          << Number(kTokensPerSecond / kNodes)
+          << FormatNumber(kTokensPerSecond / kNodes)
           << " chunks/s a node at the target; one host passed "
-          << Number(Live("stream_chunks_per_second"))
+          << FormatNumber(LiveFigure("stream_chunks_per_second"))
           << " chunks/s of 16 streams in the live run below, and used "
-          << Number(Live("latency_run_cpu_seconds"))
+          << FormatNumber(LiveFigure("latency_run_cpu_seconds"))
           << " s of a core for 3,000 calls and 12,800 chunks. Added to a "
              "call: "
-          << Number(Live("added_p50_us")) << " us at the median (target 200), "
-          << Number(Live("added_p99_us")) << " us at p99 (target 1000), "
-          << (Live("added_p50_us") <= 200 ? "within" : "NOT within")
+          << FormatNumber(LiveFigure("added_p50_us"))
+          << " us at the median (target 200), "
+          << FormatNumber(LiveFigure("added_p99_us"))
+          << " us at p99 (target 1000), "
+          << (LiveFigure("added_p50_us") <= 200 ? "within" : "NOT within")
           << " the first and "
-          << (Live("added_p99_us") <= 1000 ? "within" : "NOT within")
+          << (LiveFigure("added_p99_us") <= 1000 ? "within" : "NOT within")
           << " the second.\n\n";
   }
 
@@ -330,26 +337,29 @@
     const double readers = kDataCentres * 2;
     text_ << "## The log\n\n| what | appends/s at the target | how |\n"
           << "|---|---|---|\n"
-          << "| rule changes | " << Number(rules) << " | 40,000 a day |\n"
-          << "| ownership | " << Number(takeovers)
+          << "| rule changes | " << FormatNumber(rules) << " | 40,000 a day |\n"
+          << "| ownership | " << FormatNumber(takeovers)
           << " | a claim and a release for each group of a changed host |\n"
-          << "| carried state | " << Number(carry)
+          << "| carried state | " << FormatNumber(carry)
           << " | at most two hosts a data centre every 10 min |\n"
-          << "| claims | " << Number(claims) << " at most | one batch every "
-          << Number(kClaimLinger * 1000) << " ms for the writer of each of "
-          << Number(ClaimRanges())
+          << "| claims | " << FormatNumber(claims)
+          << " at most | one batch every " << FormatNumber(kClaimLinger * 1000)
+          << " ms for the writer of each of " << FormatNumber(ClaimRanges())
           << " key ranges, whatever the rate; not built, today each host "
              "writes its own with a linger of 5 ms |\n"
-          << "| sum | " << Number(rules + takeovers + carry + claims)
-          << " | limit: several hundred, taken as " << Number(kLogLimit) << ": "
+          << "| sum | " << FormatNumber(rules + takeovers + carry + claims)
+          << " | limit: several hundred, taken as " << FormatNumber(kLogLimit)
+          << ": "
           << (rules + takeovers + carry + claims <= kLogLimit ? "fits"
                                                               : "DOES NOT FIT")
-          << " |\n\nReaders of the control stream: " << Number(readers)
-          << " instead of " << Number(kNodes)
+          << " |\n\nReaders of the control stream: " << FormatNumber(readers)
+          << " instead of " << FormatNumber(kNodes)
           << ", since two hosts of each data centre read and tell the others "
              "over their links. A whole rule set for each change would be "
-          << Number(rules * kRules * 150) << " B/s to each of them; a change "
-          << "is " << Number(Bytes("ApplyRuleChange", kRules)) << " B.\n\n";
+          << FormatNumber(rules * kRules * 150)
+          << " B/s to each of them; a change "
+          << "is " << FormatNumber(Bytes("ApplyRuleChange", kRules))
+          << " B.\n\n";
   }
 
   void TimeToForce() {
@@ -358,13 +368,14 @@
           << "|---|---|---|\n"
           << "| append | 0.1 | assumed of the log service |\n"
           << "| long poll of a reader | 0.1 | assumed likewise |\n"
-          << "| " << Number(hops) << " hops between hosts | "
-          << Number(hops * 0.07)
+          << "| " << FormatNumber(hops) << " hops between hosts | "
+          << FormatNumber(hops * 0.07)
           << " | 50 ms least interval and a tick of 20 ms each |\n"
           << "| compiling the set | "
-          << Number(Nanos("ApplyRuleChange", kRules) * 1e-9)
+          << FormatNumber(Nanos("ApplyRuleChange", kRules) * 1e-9)
           << " | ApplyRuleChange |\n| sum | "
-          << Number(0.2 + hops * 0.07 + Nanos("ApplyRuleChange", kRules) * 1e-9)
+          << FormatNumber(0.2 + hops * 0.07 +
+                          Nanos("ApplyRuleChange", kRules) * 1e-9)
           << " | limit 6 |\n\nA data centre that was cut off has it within "
              "2 s more after joining: its hosts read for themselves when "
              "nothing was confirmed for 2 s (test: "
@@ -377,56 +388,58 @@
     text_ << "## A day of failures\n\n"
           << "| event | takeovers | appends | until it serves fully |\n"
           << "|---|---|---|---|\n"
-          << "| a host fails, 200 a day | " << Number(per_host) << " | "
-          << Number(2 * per_host)
+          << "| a host fails, 200 a day | " << FormatNumber(per_host) << " | "
+          << FormatNumber(2 * per_host)
           << " | lease 4 s + stagger 1 s + append + inspection 0.5 s = about "
              "6 s; 15 s more where engines do not check the fence |\n"
-          << "| a host is replaced, 1,800 a day | " << Number(per_host) << " | "
-          << Number(2 * per_host)
+          << "| a host is replaced, 1,800 a day | " << FormatNumber(per_host)
+          << " | " << FormatNumber(2 * per_host)
           << " | drained: released, claimed within about 2 s |\n"
-          << "| a rack of 40 hosts, weekly | " << Number(40 * per_host) << " | "
-          << Number(80 * per_host) << " | as one host |\n"
+          << "| a rack of 40 hosts, weekly | " << FormatNumber(40 * per_host)
+          << " | " << FormatNumber(80 * per_host) << " | as one host |\n"
           << "| a data centre, once or twice a year | "
-          << Number(groups / kDataCentres)
+          << FormatNumber(groups / kDataCentres)
           << " wait | 0 | its callers go elsewhere; when it returns, each "
              "group is claimed once, about 6 s |\n"
           << "| regions lose each other | 0 | 0 while cut | each data centre "
              "goes on with its engines and the rules it has |\n\n"
           << "200 failures and 1,800 replacements are "
-          << Number(2000 * per_host * 2) << " appends a day, "
-          << Number(2000 * per_host * 2 / kDay) << " a second.\n\n";
+          << FormatNumber(2000 * per_host * 2) << " appends a day, "
+          << FormatNumber(2000 * per_host * 2 / kDay) << " a second.\n\n";
   }
 
   void LiveTable() {
     text_ << "## Live: real processes beside the prediction\n\n"
-          << Number(Live("processes"))
+          << FormatNumber(LiveFigure("processes"))
           << " applehalld processes with stand-ins of "
-          << Number(Live("engines"))
+          << FormatNumber(LiveFigure("engines"))
           << " engines in one data centre, no load. Control cost a node:\n\n"
           << "| what | measured | predicted for that size | ratio |\n"
           << "|---|---|---|---|\n";
-    const double engines = Live("engines");
-    const double nodes = Live("processes");
-    const double groups = Live("groups");
+    const double engines = LiveFigure("engines");
+    const double nodes = LiveFigure("processes");
+    const double groups = LiveFigure("groups");
     const double beats = 2 * 3 * (groups * 16 + 60);
     const double digests =
         kCopies * engines / kRefreshSeconds * Bytes("MergeDigest", 400);
     const double predicted_traffic = beats + digests;
     const double predicted_cpu =
-        Live("idle_cpu_percent") +
+        LiveFigure("idle_cpu_percent") +
         100 * groups / nodes *
             (20 * Nanos("OwnerDecides", 20) * 1e-9 +
-             engines / groups * 2 * Live("inspect_us") * 1e-6);
+             engines / groups * 2 * LiveFigure("inspect_us") * 1e-6);
     const auto row = [&](const char* what, double measured, double predicted,
                          const char* unit) {
-      text_ << "| " << what << " | " << Number(measured) << " " << unit << " | "
-            << Number(predicted) << " " << unit << " | ";
-      Fixed(measured / predicted);
+      text_ << "| " << what << " | " << FormatNumber(measured) << " " << unit
+            << " | " << FormatNumber(predicted) << " " << unit << " | ";
+      AppendFixed(measured / predicted);
       text_ << " |\n";
     };
-    row("processor", Live("cpu_percent"), predicted_cpu, "% of a core");
-    row("resident memory", Live("fleet_rss_mb"), Live("rss_mb"), "MB");
-    row("sent to peers", Live("sent_per_second"), predicted_traffic, "B/s");
+    row("processor", LiveFigure("cpu_percent"), predicted_cpu, "% of a core");
+    row("resident memory", LiveFigure("fleet_rss_mb"), LiveFigure("rss_mb"),
+        "MB");
+    row("sent to peers", LiveFigure("sent_per_second"), predicted_traffic,
+        "B/s");
     text_ << "\n" << live_["remark"].get<std::string>() << "\n";
   }
 
@@ -438,7 +451,7 @@
   double traffic_ = 0;
 };
 
-// A log-log plot of every series, as SVG.
+// Draws a log-log plot of all series as SVG.
 std::string Plot(const Slopes& slopes, double Point::*value,
                  const std::string& title) {
   constexpr double kWidth = 760;
@@ -447,26 +460,26 @@
   constexpr double kRight = 220;
   constexpr double kTop = 40;
   constexpr double kBottom = 40;
-  double least_x = 1e18;
-  double most_x = 0;
-  double least_y = 1e18;
-  double most_y = 0;
+  double min_x = 1e18;
+  double max_x = 0;
+  double min_y = 1e18;
+  double max_y = 0;
   for (const auto& [name, series] : slopes) {
     for (const Point& point : series) {
-      least_x = std::min(least_x, point.size);
-      most_x = std::max(most_x, point.size);
-      least_y = std::min(least_y, std::max(1.0, point.*value));
-      most_y = std::max(most_y, point.*value);
+      min_x = std::min(min_x, point.size);
+      max_x = std::max(max_x, point.size);
+      min_y = std::min(min_y, std::max(1.0, point.*value));
+      max_y = std::max(max_y, point.*value);
     }
   }
   const auto x = [&](double size) {
-    return kLeft + (kWidth - kLeft - kRight) * std::log(size / least_x) /
-                       std::log(most_x / least_x);
+    return kLeft + (kWidth - kLeft - kRight) * std::log(size / min_x) /
+                       std::log(max_x / min_x);
   };
   const auto y = [&](double v) {
     return kHeight - kBottom -
-           (kHeight - kTop - kBottom) * std::log(std::max(1.0, v) / least_y) /
-               std::log(most_y / least_y);
+           (kHeight - kTop - kBottom) * std::log(std::max(1.0, v) / min_y) /
+               std::log(max_y / min_y);
   };
   std::ostringstream svg;
   svg << "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"" << kWidth
@@ -475,16 +488,16 @@
          "width=\"100%\" "
          "height=\"100%\" fill=\"white\"/>\n<text x=\""
       << kLeft << "\" y=\"22\" font-size=\"15\">" << title << "</text>\n";
-  for (double tick = 10; tick <= most_y * 1.01; tick *= 10) {
-    if (tick < least_y) continue;
+  for (double tick = 10; tick <= max_y * 1.01; tick *= 10) {
+    if (tick < min_y) continue;
     svg << "<line x1=\"" << kLeft << "\" x2=\"" << kWidth - kRight << "\" y1=\""
         << y(tick) << "\" y2=\"" << y(tick)
         << "\" stroke=\"#ddd\"/><text x=\"8\" y=\"" << y(tick) + 4 << "\">"
-        << Number(tick) << "</text>\n";
+        << FormatNumber(tick) << "</text>\n";
   }
-  for (double tick = 100; tick <= most_x * 1.01; tick *= 10) {
+  for (double tick = 100; tick <= max_x * 1.01; tick *= 10) {
     svg << "<text x=\"" << x(tick) - 10 << "\" y=\"" << kHeight - 16 << "\">"
-        << Number(tick) << "</text>\n";
+        << FormatNumber(tick) << "</text>\n";
   }
   int index = 0;
   for (const auto& [name, series] : slopes) {
@@ -506,7 +519,7 @@
 int Run(const std::string& docs, bool check) {
   const auto slopes = ReadSlopes(docs + "/capacity/slopes.json");
   const auto live_text = ReadFile(docs + "/capacity/live.json");
-  // Figures of whole fleets, as the users' sweep shows them.
+  // Figures of whole fleets, appended to the page.
   const auto fleets = ReadFile(docs + "/capacity/fleets.md");
   if (!slopes.ok() || !live_text.ok() || !fleets.ok()) {
     std::cerr << "applehall-capacity: " << slopes.status().message() << " "
@@ -531,8 +544,8 @@
       std::ofstream(path) << text;
       continue;
     }
-    const absl::StatusOr<std::string> there = ReadFile(path);
-    if (there.ok() && *there == text) continue;
+    const absl::StatusOr<std::string> existing = ReadFile(path);
+    if (existing.ok() && *existing == text) continue;
     std::cerr << path << " does not follow from the recorded slopes\n";
     ++stale;
   }
--- a/main/applehall_measure.cc
+++ b/main/applehall_measure.cc
@@ -1,4 +1,4 @@
-// Replays seeded arrivals through the decision parts and compares policies.
+// Replays seeded arrivals through a simulated deployment and compares policies.
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace applehall {
 namespace {
 
-const std::vector<int> kTimesToLive = {0, 1, 2, 5, 10, 20, 40};
+const std::vector<int> kTtlMinutes = {0, 1, 2, 5, 10, 20, 40};
 
 struct Summary {
   double cold_p99_vs_oracle = 0;
@@ -23,15 +23,15 @@
   size_t promises_broken = 0;
 };
 
-// The fixed time-to-live's `wanted` where its `given` equals `at`, along the
-// curve of all times to live; past its ends, the end.
-double Along(std::vector<std::pair<double, double>> curve, double at) {
+// Interpolates linearly between the points (x, y) of `curve`; beyond its ends
+// returns the y of the nearest point.
+double Interpolate(std::vector<std::pair<double, double>> curve, double x) {
   std::sort(curve.begin(), curve.end());
-  if (at <= curve.front().first) return curve.front().second;
+  if (x <= curve.front().first) return curve.front().second;
   for (size_t i = 1; i < curve.size(); ++i) {
-    if (at > curve[i].first) continue;
+    if (x > curve[i].first) continue;
     const double span = curve[i].first - curve[i - 1].first;
-    const double part = span == 0 ? 0 : (at - curve[i - 1].first) / span;
+    const double part = span == 0 ? 0 : (x - curve[i - 1].first) / span;
     return curve[i - 1].second + part * (curve[i].second - curve[i - 1].second);
   }
   return curve.back().second;
@@ -47,20 +47,20 @@
 Results RunAll(const UserProfile& profile, const std::string& fault,
                uint64_t seed) {
   Results results;
-  results.ttl.resize(kTimesToLive.size());
+  results.ttl.resize(kTtlMinutes.size());
   std::vector<std::thread> threads;
-  const auto start = [&](RunResult& into, PolicyChoice policy) {
-    threads.emplace_back([&into, &profile, &fault, seed, policy] {
-      into = RunExperiment(profile, policy, fault, seed);
+  const auto start = [&](RunResult& result, PolicyChoice policy) {
+    threads.emplace_back([&result, &profile, &fault, seed, policy] {
+      result = RunExperiment(profile, policy, fault, seed);
     });
   };
   start(results.learnt, {"learnt", KeepPolicy::kLearnt});
   start(results.oracle, {"oracle", KeepPolicy::kOracle});
   start(results.warm, {"always warm", KeepPolicy::kAlwaysWarm});
-  for (size_t i = 0; i < kTimesToLive.size(); ++i) {
+  for (size_t i = 0; i < kTtlMinutes.size(); ++i) {
     start(results.ttl[i],
           {"ttl", KeepPolicy::kFixedTimeToLive,
-           std::chrono::minutes(kTimesToLive[i]) + std::chrono::seconds(1)});
+           std::chrono::minutes(kTtlMinutes[i]) + std::chrono::seconds(1)});
   }
   for (std::thread& thread : threads) thread.join();
   return results;
@@ -80,12 +80,14 @@
   summary.cold_p99_vs_oracle =
       learnt.first_p99 / std::max(1e-9, results.oracle.first_p99);
   summary.cold_p99_vs_ttl =
-      learnt.first_p99 / std::max(1e-9, Along(tail_by_idle, learnt.idle_hours));
+      learnt.first_p99 /
+      std::max(1e-9, Interpolate(tail_by_idle, learnt.idle_hours));
   summary.idle_vs_ttl =
-      learnt.idle_hours / std::max(1e-9, Along(idle_by_tail, learnt.first_p99));
+      learnt.idle_hours /
+      std::max(1e-9, Interpolate(idle_by_tail, learnt.first_p99));
   summary.cold_share_vs_ttl =
       static_cast<double>(learnt.cold) /
-      std::max(1.0, Along(cold_by_idle, learnt.idle_hours));
+      std::max(1.0, Interpolate(cold_by_idle, learnt.idle_hours));
   size_t lost = 0;
   for (const size_t index : results.oracle.urgent_answered) {
     lost += !learnt.urgent_answered.contains(index);
@@ -140,7 +142,7 @@
   PrintRow("oracle", results.oracle);
   PrintRow("always warm", results.warm);
   for (size_t i = 0; i < results.ttl.size(); ++i) {
-    PrintRow("ttl " + std::to_string(kTimesToLive[i]) + " min", results.ttl[i]);
+    PrintRow("ttl " + std::to_string(kTtlMinutes[i]) + " min", results.ttl[i]);
   }
   std::printf(
       "cold_p99_vs_oracle %.2f  cold_p99_vs_ttl %.2f  idle_vs_ttl %.2f  "
@@ -182,10 +184,10 @@
   double hours = 2;
   app.add_option("USER", user, "malgeum or lockers")->required();
   app.add_option("--fault", fault,
-                 "A fault, two joined by '+', or all; each comes twice");
+                 "A fault, two joined by '+', or all; each is injected twice");
   app.add_option("--seed", seeds, "One or more seeds");
   app.add_option("--hours", hours, "Length of the replay");
-  app.add_option("--examples", examples, "Folder of the deployments");
+  app.add_option("--examples", examples, "Folder with the example deployments");
   app.add_option("--output", output, "text or json")
       ->check(CLI::IsMember({"text", "json"}));
   CLI11_PARSE(app, argc, argv);
--- a/main/applehall_standins.cc
+++ b/main/applehall_standins.cc
@@ -21,7 +21,7 @@
       "addresses are written as JSON."};
   std::string config_path;
   std::string addresses_path;
-  app.add_option("--config", config_path, "JSON file: what to stand in for")
+  app.add_option("--config", config_path, "JSON file with the stand-ins to run")
       ->required();
   app.add_option("--addresses", addresses_path,
                  "File to write the addresses to");
@@ -44,10 +44,10 @@
   if (addresses_path.empty()) {
     std::cout << addresses << std::endl;
   } else {
-    // Written aside and renamed, so that a reader never sees half of it.
-    const std::string aside = addresses_path + ".new";
-    std::ofstream(aside) << addresses << "\n";
-    std::rename(aside.c_str(), addresses_path.c_str());
+    // Renaming a complete file keeps readers from seeing a partial one.
+    const std::string temporary_path = addresses_path + ".new";
+    std::ofstream(temporary_path) << addresses << "\n";
+    std::rename(temporary_path.c_str(), addresses_path.c_str());
   }
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([&io](auto, int) { io.stop(); });
--- a/main/applehall_trial.cc
+++ b/main/applehall_trial.cc
@@ -1,5 +1,5 @@
-// Prepares a trial deployment, sends it a mixed load and checks the promises
-// against the truth of the stand-ins. Used by tools/try.
+// Prepares a trial deployment, sends it a mixed load and checks the guarantees
+// of the system against the records of the stand-ins. Used by tools/try.
 
 #include <CLI/CLI.hpp>
 #include <iostream>
@@ -25,22 +25,23 @@
   double seconds = 12;
 
   CLI::App* prepare =
-      app.add_subcommand("prepare", "Write the settings of every host");
+      app.add_subcommand("prepare", "Write the settings of all hosts");
   prepare->add_option("FOLDER", folder)->required();
-  CLI::App* enter =
-      app.add_subcommand("register", "Enter the hosts into the host list");
-  enter->add_option("FOLDER", folder)->required();
-  CLI::App* run = app.add_subcommand("load", "Send the load and report");
+  CLI::App* add_hosts =
+      app.add_subcommand("register", "Add the hosts to the host list");
+  add_hosts->add_option("FOLDER", folder)->required();
+  CLI::App* run = app.add_subcommand("load", "Send a load and print a report");
   run->add_option("FOLDER", folder)->required();
   run->add_option("--rules", rules, "The rule set in force")->required();
   run->add_option("--seed", load.seed, "Seed of the load");
-  run->add_option("--seconds", seconds, "How long to send");
-  run->add_option("--rate", load.requests_per_second, "Requests a second");
+  run->add_option("--seconds", seconds, "Length of the load");
+  run->add_option("--rate", load.requests_per_second, "Requests per second");
   int calls = 2000;
   CLI::App* latency = app.add_subcommand(
-      "latency", "Time calls straight to the stand-ins and through a host");
+      "latency",
+      "Compare calls sent directly to the stand-ins and through a host");
   latency->add_option("FOLDER", folder)->required();
-  latency->add_option("--calls", calls, "How many of each");
+  latency->add_option("--calls", calls, "Number of calls of each kind");
   CLI11_PARSE(app, argc, argv);
 
   applehall::TrialDeployment deployment(folder);
@@ -52,7 +53,7 @@
   }
   status = deployment.Register();
   if (!status.ok()) return Fail(status);
-  if (enter->parsed()) return 0;
+  if (add_hosts->parsed()) return 0;
   status = deployment.AwaitReady();
   if (!status.ok()) return Fail(status);
   if (latency->parsed()) {
--- a/main/operator_commands.cc
+++ b/main/operator_commands.cc
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr Duration kCallTimeout = std::chrono::seconds(5);
-constexpr int kReadBackTries = 20;
+constexpr int kMaxReadBackAttempts = 20;
 constexpr std::chrono::milliseconds kReadBackPause{250};
 
 CommandExit Fail(CommandExit code, const std::string& message) {
@@ -43,7 +43,7 @@
   return FetchBlocking(std::move(call));
 }
 
-// A rule file, parsed and checked as far as the facts at hand allow.
+// A rule file, parsed and checked against the available facts.
 struct LoadedRules {
   std::string text;
   Json document;
@@ -70,7 +70,7 @@
   return loaded;
 }
 
-absl::StatusOr<CheckFacts> FactsFromStore(const std::string& store) {
+absl::StatusOr<CheckFacts> FetchCheckFacts(const std::string& store) {
   CheckFacts facts;
   if (store.empty()) return facts;
   const absl::StatusOr<Address> address = ParseAddress(store);
@@ -78,7 +78,7 @@
   const HttpResult result = Call(*address, "GET", "/catalogue");
   if (!result.is_ok()) {
     return absl::UnavailableError(
-        absl::StrCat("the weight store at ", store, " does not answer"));
+        absl::StrCat("weight store ", store, ": could not read the catalogue"));
   }
   facts.catalogue = ParseCatalogue(result.response.body);
   return facts;
@@ -103,7 +103,7 @@
   if (findings.empty()) std::cout << path << ": no findings\n";
 }
 
-// The state of the control stream as its log has it.
+// Reads the control stream from the log service and folds all its records.
 absl::StatusOr<ControlFold> ReadControl(const Address& log) {
   ControlFold fold;
   while (true) {
@@ -112,11 +112,12 @@
              absl::StrCat("/log/", kControlStream,
                           "/read?from=", fold.next_offset()));
     if (!result.is_ok()) {
-      return absl::UnavailableError(absl::StrCat(
-          "the log service at ", log.ToString(), " does not answer"));
+      return absl::UnavailableError(
+          absl::StrCat("log service ", log.ToString(),
+                       ": could not read the control stream"));
     }
     const auto batch = ParseLogBatch(kControlStream, result.response.body);
-    if (!batch) return absl::DataLossError("the log's answer is malformed");
+    if (!batch) return absl::DataLossError("malformed batch of log records");
     const bool is_last = batch->records.empty() ||
                          batch->records.back().offset + 1 >= batch->next_offset;
     fold.Apply(*batch);
@@ -130,8 +131,8 @@
   const auto current = rules.current();
   const std::string author = current ? current->set.author : "";
   const std::string why = outcome.result == RuleBook::Result::kStaleBase
-                              ? "another set came first"
-                              : "the set is not valid";
+                              ? "another rule set was published first"
+                              : "the rule set is invalid";
   if (format == OutputFormat::kJson) {
     std::cout << Json{{"accepted", is_accepted},
                       {"version", is_accepted ? outcome.offset : 0},
@@ -143,35 +144,36 @@
   } else if (is_accepted) {
     std::cout << "published version " << outcome.offset << "\n";
   } else {
-    std::cout << "void: " << why << "; version " << rules.version() << " by "
-              << author << " is in force\n";
+    std::cout << "rejected: " << why << "; version " << rules.version()
+              << " by " << author << " is in force\n";
   }
   return is_accepted ? CommandExit::kOk : CommandExit::kFailed;
 }
 
-// Finds out how our record was judged, whether or not its append was
-// answered.
-CommandExit AwaitJudgement(const Address& log, const std::string& id,
-                           bool is_answered, OutputFormat format) {
-  for (int i = 0; i < kReadBackTries; ++i) {
+// Reads the log until it shows whether the published record was accepted. The
+// response to its append may have been lost (`is_answered` is false).
+CommandExit AwaitPublishOutcome(const Address& log, const std::string& id,
+                                bool is_answered, OutputFormat format) {
+  for (int i = 0; i < kMaxReadBackAttempts; ++i) {
     const absl::StatusOr<ControlFold> fold = ReadControl(log);
     if (fold.ok()) {
       const auto it = fold->outcomes().find(id);
       if (it != fold->outcomes().end()) {
         return ReportPublish(it->second, fold->rules(), format);
       }
-      // The log answers and does not have it: the append was lost before its
-      // effect, unless it is still on its way.
-      if (!is_answered && i >= kReadBackTries / 2) {
-        return Fail(CommandExit::kFailed,
-                    "the log does not have the record; nothing was published");
+      // The record is not in the log: the append was lost before it took
+      // effect, unless it is still in transit.
+      if (!is_answered && i >= kMaxReadBackAttempts / 2) {
+        return Fail(
+            CommandExit::kFailed,
+            "the log does not contain the record; nothing was published");
       }
     }
     std::this_thread::sleep_for(kReadBackPause);
   }
   return Fail(CommandExit::kUnknown,
-              absl::StrCat("the log does not answer; record ", id,
-                           " may or may not be published: look with "
+              absl::StrCat("the log shows no outcome of record ", id,
+                           "; it may or may not be published: check with "
                            "'applehall rules show'"));
 }
 
@@ -181,14 +183,14 @@
   if (!address.ok()) return address.status();
   const HttpResult result = Call(*address, "GET", target);
   if (!result.is_ok()) {
-    return absl::UnavailableError(absl::StrCat(host, " does not answer",
+    return absl::UnavailableError(absl::StrCat(host, ": request failed",
                                                result.error.empty() ? "" : ": ",
                                                result.error));
   }
   return ParseJson(result.response.body);
 }
 
-CommandExit FailWith(const absl::Status& status) {
+CommandExit FailWithStatus(const absl::Status& status) {
   return Fail(absl::IsUnavailable(status) ? CommandExit::kUnreachable
                                           : CommandExit::kBadInput,
               std::string(status.message()));
@@ -224,17 +226,17 @@
 
 CommandExit CheckRulesFile(const std::string& path, const std::string& store,
                            OutputFormat format) {
-  const absl::StatusOr<CheckFacts> facts = FactsFromStore(store);
-  if (!facts.ok()) return FailWith(facts.status());
+  const absl::StatusOr<CheckFacts> facts = FetchCheckFacts(store);
+  if (!facts.ok()) return FailWithStatus(facts.status());
   const absl::StatusOr<LoadedRules> loaded = LoadRules(path, *facts);
-  if (!loaded.ok()) return FailWith(loaded.status());
+  if (!loaded.ok()) return FailWithStatus(loaded.status());
   PrintFindings(path, loaded->parsed.findings, format);
   return loaded->parsed.has_errors() ? CommandExit::kFailed : CommandExit::kOk;
 }
 
 CommandExit ExplainRulesFile(const std::string& path, OutputFormat format) {
   const absl::StatusOr<LoadedRules> loaded = LoadRules(path, {});
-  if (!loaded.ok()) return FailWith(loaded.status());
+  if (!loaded.ok()) return FailWithStatus(loaded.status());
   const std::string text = ExplainRuleSet(loaded->parsed.set);
   if (format == OutputFormat::kJson) {
     std::cout << Json{{"explanation", text}}.dump(2) << "\n";
@@ -249,9 +251,9 @@
 CommandExit DiffRulesFiles(const std::string& before, const std::string& after,
                            OutputFormat format) {
   const absl::StatusOr<LoadedRules> old_rules = LoadRules(before, {});
-  if (!old_rules.ok()) return FailWith(old_rules.status());
+  if (!old_rules.ok()) return FailWithStatus(old_rules.status());
   const absl::StatusOr<LoadedRules> new_rules = LoadRules(after, {});
-  if (!new_rules.ok()) return FailWith(new_rules.status());
+  if (!new_rules.ok()) return FailWithStatus(new_rules.status());
   const std::string text =
       DiffRuleSets(old_rules->parsed.set, new_rules->parsed.set);
   if (format == OutputFormat::kJson) {
@@ -265,33 +267,33 @@
 CommandExit TestRulesFile(const std::string& path, const std::string& request,
                           OutputFormat format) {
   const absl::StatusOr<LoadedRules> loaded = LoadRules(path, {});
-  if (!loaded.ok()) return FailWith(loaded.status());
+  if (!loaded.ok()) return FailWithStatus(loaded.status());
   if (loaded->parsed.has_errors()) {
     PrintFindings(path, loaded->parsed.findings, format);
     return CommandExit::kFailed;
   }
   const absl::StatusOr<std::string> text = ReadFile(request);
-  if (!text.ok()) return FailWith(text.status());
+  if (!text.ok()) return FailWithStatus(text.status());
   const absl::StatusOr<Json> json = ParseJson(*text);
-  if (!json.ok()) return FailWith(json.status());
+  if (!json.ok()) return FailWithStatus(json.status());
   const RequestFacts facts = FactsFromJson(*json);
   const SystemFacts system = SystemFromJson(*json);
-  Json passed = Json::array();
+  Json skipped = Json::array();
   for (const Rule& rule : loaded->parsed.set.rules) {
     const std::string why = rule.when.Mismatch(facts, system);
     if (!why.empty()) {
-      passed.push_back({{"rule", rule.name}, {"why_not", why}});
+      skipped.push_back({{"rule", rule.name}, {"why_not", why}});
       continue;
     }
     if (format == OutputFormat::kJson) {
       std::cout << Json{{"decides", rule.name},
                         {"means", ExplainRule(rule)},
-                        {"passed_over", passed}}
+                        {"passed_over", skipped}}
                        .dump(2)
                 << "\n";
       return CommandExit::kOk;
     }
-    for (const Json& item : passed) {
+    for (const Json& item : skipped) {
       std::cout << "not " << item["rule"].get<std::string>() << ": "
                 << item["why_not"].get<std::string>() << "\n";
     }
@@ -305,23 +307,23 @@
                              const std::string& log, const std::string& store,
                              OutputFormat format) {
   const absl::StatusOr<Address> address = ParseAddress(log);
-  if (!address.ok()) return FailWith(address.status());
-  const absl::StatusOr<CheckFacts> facts = FactsFromStore(store);
-  if (!facts.ok()) return FailWith(facts.status());
+  if (!address.ok()) return FailWithStatus(address.status());
+  const absl::StatusOr<CheckFacts> facts = FetchCheckFacts(store);
+  if (!facts.ok()) return FailWithStatus(facts.status());
   const absl::StatusOr<LoadedRules> loaded = LoadRules(path, *facts);
-  if (!loaded.ok()) return FailWith(loaded.status());
+  if (!loaded.ok()) return FailWithStatus(loaded.status());
   if (loaded->parsed.has_errors()) {
     PrintFindings(path, loaded->parsed.findings, format);
     return CommandExit::kFailed;
   }
   const absl::StatusOr<ControlFold> fold = ReadControl(*address);
-  if (!fold.ok()) return FailWith(fold.status());
+  if (!fold.ok()) return FailWithStatus(fold.status());
   const auto current = fold->rules().current();
   if (fold->rules().version() != base) {
     return ReportPublish({RuleBook::Result::kStaleBase, 0, 0}, fold->rules(),
                          format);
   }
-  // Only what changed goes to the log.
+  // The log gets a delta if that is smaller than the whole document.
   Json body{{"document", loaded->document}};
   if (current) {
     const Json delta =
@@ -337,14 +339,14 @@
   const HttpResult result =
       Call(*address, "POST", absl::StrCat("/log/", kControlStream, "/append"),
            PublishRecord(id, base, body).dump());
-  return AwaitJudgement(*address, id, result.is_ok(), format);
+  return AwaitPublishOutcome(*address, id, result.is_ok(), format);
 }
 
 CommandExit ShowRules(const std::string& log, OutputFormat format) {
   const absl::StatusOr<Address> address = ParseAddress(log);
-  if (!address.ok()) return FailWith(address.status());
+  if (!address.ok()) return FailWithStatus(address.status());
   const absl::StatusOr<ControlFold> fold = ReadControl(*address);
-  if (!fold.ok()) return FailWith(fold.status());
+  if (!fold.ok()) return FailWithStatus(fold.status());
   const auto current = fold->rules().current();
   if (!current) {
     std::cout << (format == OutputFormat::kJson ? "{\"version\": 0}"
@@ -366,7 +368,7 @@
 
 CommandExit ShowState(const std::string& host, OutputFormat) {
   const absl::StatusOr<Json> state = FetchJson(host, "/state");
-  if (!state.ok()) return FailWith(state.status());
+  if (!state.ok()) return FailWithStatus(state.status());
   std::cout << state->dump(2) << "\n";
   return CommandExit::kOk;
 }
@@ -375,7 +377,7 @@
                           OutputFormat format) {
   const absl::StatusOr<Json> list = FetchJson(
       host, request.empty() ? "/decisions" : "/decisions?request=" + request);
-  if (!list.ok()) return FailWith(list.status());
+  if (!list.ok()) return FailWithStatus(list.status());
   if (format == OutputFormat::kJson) {
     std::cout << list->dump(2) << "\n";
     return CommandExit::kOk;
@@ -402,22 +404,24 @@
   for (const std::string& path : log_files) {
     std::ifstream file(path);
     if (!file) {
-      return Fail(CommandExit::kBadInput, absl::StrCat(path, ": cannot read"));
+      return Fail(CommandExit::kBadInput,
+                  absl::StrCat(path, ": cannot open the log file"));
     }
     std::vector<LogLine> more = ReadLogLines(file);
     std::move(more.begin(), more.end(), std::back_inserter(lines));
   }
-  const std::vector<LogLine> story = RequestStory(std::move(lines), request);
-  if (story.empty()) {
+  const std::vector<LogLine> timeline =
+      BuildRequestTimeline(std::move(lines), request);
+  if (timeline.empty()) {
     return Fail(CommandExit::kFailed,
-                absl::StrCat("no line names request ", request,
-                             "; are the logs of all hosts there?"));
+                absl::StrCat("no log line contains request ", request,
+                             "; check that the logs of all hosts are given"));
   }
-  const TimePoint end = story.back().at;
-  for (const LogLine& line : story) {
-    const int64_t before_end_ms = ToMillis(end - line.at);
+  const TimePoint end = timeline.back().time;
+  for (const LogLine& line : timeline) {
+    const int64_t before_end_ms = ToMillis(end - line.time);
     if (format == OutputFormat::kJson) {
-      std::cout << Json{{"time_ms", ToUnixMillis(line.at)},
+      std::cout << Json{{"time_ms", ToUnixMillis(line.time)},
                         {"before_end_ms", before_end_ms},
                         {"host", line.host},
                         {"event", line.event},
@@ -434,7 +438,7 @@
 
 CommandExit ShowLoads(const std::string& host, OutputFormat format) {
   const absl::StatusOr<Json> state = FetchJson(host, "/state");
-  if (!state.ok()) return FailWith(state.status());
+  if (!state.ok()) return FailWithStatus(state.status());
   const Json& engines = (*state)["engines"];
   if (format == OutputFormat::kJson) {
     std::cout << engines.dump(2) << "\n";
@@ -450,7 +454,7 @@
 
 CommandExit ShowHosts(const std::string& host, OutputFormat format) {
   const absl::StatusOr<Json> state = FetchJson(host, "/state");
-  if (!state.ok()) return FailWith(state.status());
+  if (!state.ok()) return FailWithStatus(state.status());
   const Json& hosts = (*state)["hosts"]["list"];
   if (format == OutputFormat::kJson) {
     std::cout << hosts.dump(2) << "\n";
--- a/main/operator_commands.h
+++ b/main/operator_commands.h
@@ -10,16 +10,16 @@
 // Exit codes of the operator's command line.
 enum class CommandExit : uint8_t {
   kOk = 0,
-  kFailed = 1,       // It was understood, and did not succeed.
-  kBadInput = 2,     // A file, an address or an option is wrong.
-  kUnreachable = 3,  // Nobody answered.
-  kUnknown = 4,      // The outcome could not be found out.
+  kFailed = 1,       // The input was valid, but the command failed.
+  kBadInput = 2,     // A file, an address or an option is invalid.
+  kUnreachable = 3,  // No usable response was received.
+  kUnknown = 4,      // The outcome could not be determined.
 };
 
 enum class OutputFormat : uint8_t { kText, kJson };
 
-// Each writes its result to standard output and faults to standard error.
-// Thread: one at a time.
+// The commands write their results to standard output and errors to standard
+// error. Thread: one call at a time.
 CommandExit CheckRulesFile(const std::string& path, const std::string& store,
                            OutputFormat format);
 CommandExit ExplainRulesFile(const std::string& path, OutputFormat format);
@@ -34,7 +34,7 @@
 CommandExit ShowState(const std::string& host, OutputFormat format);
 CommandExit ShowDecisions(const std::string& host, const std::string& request,
                           OutputFormat format);
-// From the log files named, or from standard input.
+// Reads `log_files`, or standard input if the list is empty.
 CommandExit ExplainRequest(const std::string& request,
                            const std::vector<std::string>& log_files,
                            OutputFormat format);
--- a/main/request_story.cc
+++ b/main/request_story.cc
@@ -15,18 +15,19 @@
 using std::chrono::seconds;
 
 constexpr char kTimeKey[] = "time_ms=";
-// Loads from the weight store take up to 15 s; what was ordered longer before
-// a request's arrival did not keep it waiting.
+// Loads from the weight store take up to 15 s; a load ordered earlier than that
+// before a request's arrival cannot have delayed it.
 constexpr Duration kLookBack = seconds(15);
 
-// Of the whole system: they stop placement everywhere.
-const std::set<std::string>& OwnerEvents() {
+// Changes of the placement owner; they affect the placement of all data
+// centres.
+const std::set<std::string>& PlacementOwnerEvents() {
   static const std::set<std::string> kEvents = {"lease_claim", "lease_held",
                                                 "lease_lost", "lease_release"};
   return kEvents;
 }
 
-// Of the request's own host: what it could not see or do.
+// Events at the request's entry host that limit what it can see or do.
 const std::set<std::string>& HostEvents() {
   static const std::set<std::string> kEvents = {
       "started",     "stopped",           "drain_begin",     "drain_end",
@@ -36,7 +37,7 @@
   return kEvents;
 }
 
-// Of all requests of one content, at any host and at any time.
+// Events of all requests with the same content, at any host and time.
 const std::set<std::string>& ContentEvents() {
   static const std::set<std::string> kEvents = {
       "server_ended", "quarantine_begin", "quarantine_lifted",
@@ -44,37 +45,38 @@
   return kEvents;
 }
 
-// The value that starts at `at`, quoted or not, as AppendLogValue() wrote it;
-// `at` moves behind it.
-std::string TakeValue(std::string_view text, size_t& at) {
+// Parses the value that starts at `position`, quoted or not, as
+// AppendLogValue() writes it, and moves `position` behind it.
+std::string ParseValue(std::string_view text, size_t& position) {
   std::string value;
-  if (at >= text.size() || text[at] != '"') {
-    const size_t end = std::min(text.find(' ', at), text.size());
-    value = std::string(text.substr(at, end - at));
-    at = end;
+  if (position >= text.size() || text[position] != '"') {
+    const size_t end = std::min(text.find(' ', position), text.size());
+    value = std::string(text.substr(position, end - position));
+    position = end;
     return value;
   }
-  for (++at; at < text.size() && text[at] != '"'; ++at) {
-    if (text[at] != '\\' || at + 1 == text.size()) {
-      value += text[at];
+  for (++position; position < text.size() && text[position] != '"';
+       ++position) {
+    if (text[position] != '\\' || position + 1 == text.size()) {
+      value += text[position];
       continue;
     }
-    ++at;
-    value += text[at] == 'n' ? '\n' : text[at];
+    ++position;
+    value += text[position] == 'n' ? '\n' : text[position];
   }
-  ++at;
+  ++position;
   return value;
 }
 
-// "SERVICE/MODEL" of a target that may name an adapter.
-std::string ModelOf(const std::string& target) {
+// Returns "SERVICE/MODEL" of a target that may include an adapter.
+std::string StripAdapter(const std::string& target) {
   const size_t service_end = target.find('/');
   if (service_end == std::string::npos) return target;
   return target.substr(0, target.find('/', service_end + 1));
 }
 
-// What the lines of one request say about it.
-struct Subject {
+// Properties of one request, collected from its own log lines.
+struct RequestDetails {
   std::string host;
   std::string target;
   std::set<std::string> backends;
@@ -84,53 +86,54 @@
   TimePoint ended;
 };
 
-Subject SubjectOf(const std::vector<LogLine>& lines,
-                  const std::string& request) {
-  Subject subject;
+RequestDetails CollectDetails(const std::vector<LogLine>& lines,
+                              const std::string& request) {
+  RequestDetails details;
   for (const LogLine& line : lines) {
     if (line.Value("request") != request) continue;
     int64_t took_ms = 0;
     if (!absl::SimpleAtoi(line.Value("took_ms"), &took_ms)) took_ms = 0;
     const std::string rule = line.Value("rule");
-    subject.host = line.host;
-    subject.target = line.Value("target");
-    subject.rules_version = rule.substr(0, rule.find('/'));
-    subject.arrived = line.at - milliseconds(took_ms);
-    subject.ended = line.at;
-    subject.fingerprint = line.Value("fingerprint");
+    details.host = line.host;
+    details.target = line.Value("target");
+    details.rules_version = rule.substr(0, rule.find('/'));
+    details.arrived = line.time - milliseconds(took_ms);
+    details.ended = line.time;
+    details.fingerprint = line.Value("fingerprint");
     if (!line.Value("backend").empty()) {
-      subject.backends.insert(line.Value("backend"));
+      details.backends.insert(line.Value("backend"));
     }
   }
-  return subject;
+  return details;
 }
 
-bool IsPlacementOf(const LogLine& line, const Subject& subject) {
+bool IsPlacementEvent(const LogLine& line, const RequestDetails& details) {
   const std::string target = line.Value("target");
   if (target.empty() || line.Value("engine").empty()) return false;
-  return target == subject.target || target == ModelOf(subject.target);
+  return target == details.target || target == StripAdapter(details.target);
 }
 
-bool Belongs(const LogLine& line, const Subject& subject) {
+bool IsRelated(const LogLine& line, const RequestDetails& details) {
   if (line.event == "rules_in_force") {
-    return line.host == subject.host &&
-           line.Value("version") == subject.rules_version;
+    return line.host == details.host &&
+           line.Value("version") == details.rules_version;
   }
   if (ContentEvents().contains(line.event)) {
-    return line.Value("fingerprint") == subject.fingerprint;
+    return line.Value("fingerprint") == details.fingerprint;
   }
-  const bool is_near = line.at >= subject.arrived - kLookBack;
-  if (!is_near) return false;
-  if (IsPlacementOf(line, subject) || OwnerEvents().contains(line.event)) {
+  const bool is_recent = line.time >= details.arrived - kLookBack;
+  if (!is_recent) return false;
+  if (IsPlacementEvent(line, details) ||
+      PlacementOwnerEvents().contains(line.event)) {
     return true;
   }
   const bool is_server =
       line.event == "server_listed" || line.event == "server_gone";
   if (is_server) {
-    return line.host == subject.host &&
-           subject.backends.contains(line.Value("server"));
+    return line.host == details.host &&
+           details.backends.contains(line.Value("server"));
   }
-  return line.host == subject.host && HostEvents().contains(line.event);
+  return line.host == details.host && HostEvents().contains(line.event);
 }
 
 }  // namespace
@@ -150,23 +153,23 @@
 }
 
 std::optional<LogLine> ParseLogLine(std::string_view text) {
-  size_t at = text.find(kTimeKey);
-  if (at == std::string_view::npos) return std::nullopt;
+  size_t position = text.find(kTimeKey);
+  if (position == std::string_view::npos) return std::nullopt;
   LogLine line;
-  while (at < text.size()) {
-    if (text[at] == ' ') {
-      ++at;
+  while (position < text.size()) {
+    if (text[position] == ' ') {
+      ++position;
       continue;
     }
-    const size_t equals = text.find('=', at);
+    const size_t equals = text.find('=', position);
     if (equals == std::string_view::npos) break;
-    const std::string key(text.substr(at, equals - at));
-    at = equals + 1;
-    std::string value = TakeValue(text, at);
+    const std::string key(text.substr(position, equals - position));
+    position = equals + 1;
+    std::string value = ParseValue(text, position);
     if (key == "time_ms") {
       int64_t time_ms = 0;
       if (!absl::SimpleAtoi(value, &time_ms)) return std::nullopt;
-      line.at = TimePoint(milliseconds(time_ms));
+      line.time = TimePoint(milliseconds(time_ms));
     } else if (key == "host") {
       line.host = std::move(value);
     } else if (key == "event") {
@@ -190,21 +193,21 @@
   return lines;
 }
 
-std::vector<LogLine> RequestStory(std::vector<LogLine> lines,
-                                  const std::string& request) {
-  const Subject subject = SubjectOf(lines, request);
-  std::vector<LogLine> story;
-  if (subject.host.empty()) return story;
+std::vector<LogLine> BuildRequestTimeline(std::vector<LogLine> lines,
+                                          const std::string& request) {
+  const RequestDetails details = CollectDetails(lines, request);
+  std::vector<LogLine> timeline;
+  if (details.host.empty()) return timeline;
   for (LogLine& line : lines) {
-    if (line.at > subject.ended) continue;
-    if (line.Value("request") == request || Belongs(line, subject)) {
-      story.push_back(std::move(line));
+    if (line.time > details.ended) continue;
+    if (line.Value("request") == request || IsRelated(line, details)) {
+      timeline.push_back(std::move(line));
     }
   }
   std::stable_sort(
-      story.begin(), story.end(),
-      [](const LogLine& a, const LogLine& b) { return a.at < b.at; });
-  return story;
+      timeline.begin(), timeline.end(),
+      [](const LogLine& a, const LogLine& b) { return a.time < b.time; });
+  return timeline;
 }
 
 }  // namespace applehall
--- a/main/request_story.h
+++ b/main/request_story.h
@@ -14,34 +14,34 @@
 
 // One line of a process's log.
 struct LogLine {
-  TimePoint at;
+  TimePoint time;
   std::string host;
   std::string event;
-  std::map<std::string, std::string> keys;  // The event's own.
+  std::map<std::string, std::string> keys;  // All others.
 
-  // Empty if the line has no such key. Thread-safe.
+  // Returns the value of `key`; empty if the line has no such key. Thread-safe.
   std::string Value(const std::string& key) const;
-  // "event=... key=value ..." without time, level and host. Thread-safe.
+  // Formats the line as "event=... key=value ...", without time, level and
+  // host. Thread-safe.
   std::string Text() const;
 };
 
-// Nothing if `text` is not a line of the event log; what stands before its
-// `time_ms=` is ignored, so collected logs with prefixes can be read. Requires:
-// nothing. Thread-safe.
+// Parses a line of the event log; nullopt if `text` is none. Text before
+// `time_ms=` is ignored, so that collected logs with prefixes can be read.
+// Thread-safe.
 std::optional<LogLine> ParseLogLine(std::string_view text);
 
-// Every line of the event log in `input`, in the order of the file. Requires:
-// nothing. Not thread-safe for one stream.
+// Returns the lines of the event log in `input`, in the order of the file. Not
+// thread-safe for one stream.
 std::vector<LogLine> ReadLogLines(std::istream& input);
 
-// What happened to one request, oldest first: its own lines, and those before
-// its end that decided it: the rules and servers its host believed in, the
-// placement of its model and of the server it went to, changes of the placement
-// owner, what its host lost sight of, and servers that ended under requests of
-// the same content. Empty if no line names the request.
-// Requires: nothing. Thread-safe.
-std::vector<LogLine> RequestStory(std::vector<LogLine> lines,
-                                  const std::string& request);
+// Returns the lines that explain the outcome of `request`, oldest first: its
+// own lines, and earlier ones on the rules in force and the servers listed at
+// its host, the placement of its model, changes of the placement owner,
+// failures at its host, and servers that terminated on requests with the same
+// content. Empty if no line contains the request. Thread-safe.
+std::vector<LogLine> BuildRequestTimeline(std::vector<LogLine> lines,
+                                          const std::string& request);
 
 }  // namespace applehall
 
--- a/measure/arrivals.cc
+++ b/measure/arrivals.cc
@@ -40,8 +40,8 @@
   }
 
  private:
-  double Between(double least, double most) {
-    return least + (most - least) * random_.Unit();
+  double Between(double low, double high) {
+    return low + (high - low) * random_.Unit();
   }
   double Exponential(double mean) {
     return -mean * std::log(1.0 - random_.Unit());
@@ -71,11 +71,11 @@
   }
 
   void AddBursts(const std::string& model, double gap, bool is_periodic,
-                 int least, int most) {
+                 int min_size, int max_size) {
     double at = gap * random_.Unit();
     while (FromSeconds(at) < shape_.length) {
       const int size =
-          least + static_cast<int>(random_.Below(most - least + 1));
+          min_size + static_cast<int>(random_.Below(max_size - min_size + 1));
       Add(at, model, true);
       for (int i = 1; i < size; ++i) {
         Add(at + Between(0.0, kBurstSpreadSeconds), model, false);
--- a/measure/arrivals.h
+++ b/measure/arrivals.h
@@ -10,22 +10,22 @@
 
 namespace applehall {
 
-// One request to come, counted from the start of the measurement.
+// One generated request.
 struct Arrival {
-  Duration at{0};
-  int host = 0;  // Index among the hosts.
+  Duration at{0};  // From the start of the run.
+  int host = 0;    // Index among the hosts.
   std::string model;
   std::string caller;
   Duration deadline{0};
   double worth = 1.0;
-  bool is_first = false;  // The first of a burst.
+  bool is_first = false;  // Of a burst.
 };
 
-// The shape of one user's load.
+// Parameters of one user's load.
 struct ArrivalShape {
   int hosts = 6;
   Duration length = std::chrono::hours(2);
-  int busy_models = 5;       // Called all the time.
+  int busy_models = 5;       // Called at random all the time.
   int periodic_models = 15;  // Called in bursts at nearly fixed intervals.
   int overnight_requests = 300;
   std::string overnight_caller;
@@ -34,12 +34,13 @@
   Duration ordinary_deadline = std::chrono::seconds(20);
 };
 
-// A list of arrivals: the same for the same seed. Bursts reach several hosts
-// at once; each model keeps its own habits; overnight work comes in one go.
+// Generates a list of arrivals, ordered by time and determined by `seed`. Each
+// model has its own pattern of calls, bursts reach several hosts at once, and
+// overnight requests arrive within one minute.
 std::vector<Arrival> MakeArrivals(const ArrivalShape& shape,
                                   const Catalogue& catalogue, uint64_t seed);
 
-// When each model is called, for the oracle.
+// Returns the times of calls by model, for the oracle policy.
 std::map<std::string, std::vector<Duration>> CallTimes(
     const std::vector<Arrival>& arrivals);
 
--- a/measure/experiment.cc
+++ b/measure/experiment.cc
@@ -25,15 +25,15 @@
                                     static_cast<double>(values.size() - 1))];
 }
 
-std::string ClassOf(const Arrival& arrival, const UserProfile& profile) {
+std::string UrgencyClass(const Arrival& arrival, const UserProfile& profile) {
   if (arrival.caller == profile.shape.overnight_caller) return kOvernight;
   return arrival.caller == "kiosk" ? kUrgent : kOrdinary;
 }
 
-// Begins (true) and ends (false) one fault.
-using Fault = std::function<void(Deployment& deployment, bool begins)>;
+// Starts (true) or ends (false) a fault.
+using Fault = std::function<void(Deployment& deployment, bool is_start)>;
 
-std::string OwnerIn(const Deployment& deployment) {
+std::string FindLiveOwner(const Deployment& deployment) {
   for (const std::string& host : deployment.HostNames()) {
     if (!deployment.IsAlive(host)) continue;
     for (const auto& [group, ownership] :
@@ -47,21 +47,24 @@
 
 const std::map<std::string, Fault>& Faults() {
   static const auto* const kFaults = new std::map<std::string, Fault>{
-      {"log-down", [](Deployment& d, bool begins) { d.SetLogDown(begins); }},
+      {"log-down",
+       [](Deployment& d, bool is_start) { d.SetLogDown(is_start); }},
       {"log-slow",
-       [](Deployment& d, bool begins) {
-         d.SetLogSlow(begins ? milliseconds(800) : milliseconds(0));
+       [](Deployment& d, bool is_start) {
+         d.SetLogSlow(is_start ? milliseconds(800) : milliseconds(0));
        }},
       {"append-answer-lost",
-       [](Deployment& d, bool begins) {
-         d.LoseAppendAnswers(begins ? 50 : 0);
+       [](Deployment& d, bool is_start) {
+         d.LoseAppendAnswers(is_start ? 50 : 0);
        }},
       {"store-slow",
-       [](Deployment& d, bool begins) { d.SetStoreSlow(begins ? 6.0 : 1.0); }},
+       [](Deployment& d, bool is_start) {
+         d.SetStoreSlow(is_start ? 6.0 : 1.0);
+       }},
       {"host-killed-in-load",
-       [](Deployment& d, bool begins) {
-         if (begins) {
-           const std::string owner = OwnerIn(d);
+       [](Deployment& d, bool is_start) {
+         if (is_start) {
+           const std::string owner = FindLiveOwner(d);
            d.KillHost(owner);
            d.ListGone(owner);
            return;
@@ -71,32 +74,32 @@
          }
        }},
       {"owner-paused",
-       [](Deployment& d, bool begins) {
-         if (begins) {
-           d.PauseHost(OwnerIn(d));
+       [](Deployment& d, bool is_start) {
+         if (is_start) {
+           d.PauseHost(FindLiveOwner(d));
            return;
          }
          for (const std::string& host : d.HostNames()) d.ResumeHost(host);
        }},
       {"data-centre-cut",
-       [](Deployment& d, bool begins) {
+       [](Deployment& d, bool is_start) {
          const Node& node = d.node(d.HostNames().front());
-         d.CutDataCentre(node.context().settings.data_centre, begins);
+         d.CutDataCentre(node.context().settings.data_centre, is_start);
        }},
       {"hosts-reclaimed",
-       [](Deployment& d, bool begins) {
+       [](Deployment& d, bool is_start) {
          const std::vector<std::string> hosts = d.HostNames();
          for (size_t i = 0; i < hosts.size(); i += 2) {
-           if (begins && d.IsAlive(hosts[i])) {
+           if (is_start && d.IsAlive(hosts[i])) {
              d.ListLeaving(hosts[i]);
              d.DrainHost(hosts[i]);
            }
-           if (!begins && !d.IsAlive(hosts[i])) d.ReviveHost(hosts[i]);
+           if (!is_start && !d.IsAlive(hosts[i])) d.ReviveHost(hosts[i]);
          }
        }},
       {"publish-race",
-       [](Deployment& d, bool begins) {
-         if (!begins) return;
+       [](Deployment& d, bool is_start) {
+         if (!is_start) return;
          const auto rules =
              d.node(d.HostNames().front()).context().control.rules().current();
          if (!rules) return;
@@ -108,25 +111,25 @@
          d.Publish(second, rules->version);
        }},
       {"report-lag",
-       [](Deployment& d, bool begins) {
-         d.SetReportLag(begins ? milliseconds(5000) : milliseconds(300));
+       [](Deployment& d, bool is_start) {
+         d.SetReportLag(is_start ? milliseconds(5000) : milliseconds(300));
        }},
       {"half-engines-fail",
-       [](Deployment& d, bool begins) {
+       [](Deployment& d, bool is_start) {
          size_t index = 0;
          for (const auto& [name, engine] : d.engines()) {
-           if (index++ % 2 == 0) d.FailEngine(name, begins);
+           if (index++ % 2 == 0) d.FailEngine(name, is_start);
          }
        }},
   };
   return *kFaults;
 }
 
-// Every host is answering callers: where a request goes if its own is down.
+// Returns the host at `index`, or the next one that is ready if that one is
+// not, as the load balancer does.
 std::string PickHost(const Deployment& deployment, int index) {
   const std::vector<std::string> hosts = deployment.HostNames();
   for (size_t i = 0; i < hosts.size(); ++i) {
-    // The balancer leaves out hosts that are not ready.
     const std::string& host = hosts[(index + i) % hosts.size()];
     if (deployment.IsAlive(host) && deployment.node(host).IsReady()) {
       return host;
@@ -159,31 +162,31 @@
   }
 
   RunResult Replay(const std::string& fault) {
-    std::vector<std::pair<Duration, std::function<void()>>> timed;
+    std::vector<std::pair<Duration, std::function<void()>>> events;
     const std::vector<std::string> names = absl::StrSplit(fault, '+');
     for (const std::string& name : names) {
       const auto it = Faults().find(name);
       if (it == Faults().end()) continue;
       const Duration length = profile_.shape.length;
       for (const Duration at : {length / 4, length * 3 / 5}) {
-        timed.emplace_back(at, [=, this] { it->second(*deployment_, true); });
-        timed.emplace_back(at + kFaultLength,
-                           [=, this] { it->second(*deployment_, false); });
+        events.emplace_back(at, [=, this] { it->second(*deployment_, true); });
+        events.emplace_back(at + kFaultLength,
+                            [=, this] { it->second(*deployment_, false); });
       }
     }
-    std::sort(timed.begin(), timed.end(),
+    std::sort(events.begin(), events.end(),
               [](const auto& a, const auto& b) { return a.first < b.first; });
-    size_t next_timed = 0;
+    size_t next_event = 0;
     for (size_t i = 0; i < arrivals_.size(); ++i) {
-      while (next_timed < timed.size() &&
-             timed[next_timed].first <= arrivals_[i].at) {
-        AdvanceTo(timed[next_timed].first);
-        timed[next_timed++].second();
+      while (next_event < events.size() &&
+             events[next_event].first <= arrivals_[i].at) {
+        AdvanceTo(events[next_event].first);
+        events[next_event++].second();
       }
       AdvanceTo(arrivals_[i].at);
-      SendOne(arrivals_[i]);
+      SendArrival(arrivals_[i]);
     }
-    while (next_timed < timed.size()) timed[next_timed++].second();
+    while (next_event < events.size()) events[next_event++].second();
     deployment_->RunFor(minutes(3));
     return Summarize();
   }
@@ -210,7 +213,7 @@
     }
   }
 
-  void SendOne(const Arrival& arrival) {
+  void SendArrival(const Arrival& arrival) {
     const std::string host = PickHost(*deployment_, arrival.host);
     Sent sent;
     sent.was_cold = !deployment_->IsWarm(host, arrival.model);
@@ -226,7 +229,7 @@
     for (size_t i = 0; i < sent_.size(); ++i) {
       const Arrival& arrival = arrivals_[i];
       const RequestOutcome& outcome = deployment_->outcome(sent_[i].id);
-      const std::string urgency = ClassOf(arrival, profile_);
+      const std::string urgency = UrgencyClass(arrival, profile_);
       ++result.sent;
       ++result.sent_by_class[urgency];
       result.worth_sent += arrival.worth;
@@ -239,7 +242,7 @@
         if (urgency == kUrgent) result.urgent_answered.insert(i);
       }
       if (!arrival.is_first) continue;
-      // A refused first request waited for nothing: it counts as its limit.
+      // A refused first request counts with its whole deadline.
       const double waited =
           outcome.is_answered ? took : ToSeconds(arrival.deadline);
       firsts.push_back(waited);
@@ -314,7 +317,8 @@
   profile.shape.overnight_model =
       is_malgeum ? "horse-pedigree-1" : "locker-summary-1";
   if (is_malgeum) {
-    // Dossiers carry a key; here only their load is of interest.
+    // Requests for dossiers need an idempotency key; the replay needs only
+    // their load.
     for (Json& rule : profile.rules["rules"]) {
       if (rule["name"] == "dossiers-overnight") {
         rule["then"].erase("repeatable");
--- a/measure/experiment.h
+++ b/measure/experiment.h
@@ -29,14 +29,14 @@
   Duration time_to_live = std::chrono::minutes(5);
 };
 
-// What one run of one policy gave. Times in seconds.
+// Results of one run with one policy. Times in seconds.
 struct RunResult {
-  // First requests of a burst: until the whole answer.
+  // Latency of the first requests of bursts, until the end of the response.
   double first_p50 = 0;
   double first_p95 = 0;
   double first_p99 = 0;
   double first_max = 0;
-  // Of these, the ones that found no replica in their data centre.
+  // The same for those that found no replica in their data centre.
   double cold_p50 = 0;
   double cold_p95 = 0;
   double cold_p99 = 0;
@@ -53,17 +53,18 @@
   uint64_t loads = 0;
   double store_wait = 0;
   std::set<std::string> broken;
-  // Urgent requests answered, by position in the arrival list.
+  // Indices in the arrival list of urgent requests answered in time.
   std::set<size_t> urgent_answered;
 
   Json ToJson() const;
 };
 
-// Names of the faults that Run() knows.
+// Names of the faults that RunExperiment() can inject.
 std::vector<std::string> FaultNames();
 
-// Replays the arrivals of `seed` through a deployment with one policy and
-// faults (by name; two joined by '+' at once), each of which comes twice.
+// Replays the arrivals of `seed` through a deployment with one policy. `fault`
+// is the name of a fault, or two joined by '+' for both at once; each is
+// injected twice.
 RunResult RunExperiment(const UserProfile& profile, const PolicyChoice& policy,
                         const std::string& fault, uint64_t seed);
 
--- a/tests/main/request_story_test.cc
+++ b/tests/main/request_story_test.cc
@@ -9,8 +9,8 @@
 namespace applehall {
 namespace {
 
-// A request that came late for a cold model, in the logs of two hosts: its own
-// and the placement owner's. The cause is a change of the owner just before.
+// Logs of the host that received request 42 and of the placement owner. The
+// request waited long for a cold model, since the owner had just changed.
 constexpr char kLogs[] =
     R"(time_ms=1000 level=info host=a event=rules_in_force version=4 name=routes-4 rules=8
 time_ms=90000 level=info host=a event=rules_in_force version=9 name=routes-9 rules=8
@@ -26,54 +26,56 @@
 time_ms=110000 level=info host=b event=unloaded engine=e1 target=llm/m token=2 reason="" took_ms=80
 )";
 
-std::vector<std::string> Events(const std::vector<LogLine>& story) {
+std::vector<std::string> Events(const std::vector<LogLine>& timeline) {
   std::vector<std::string> events;
-  for (const LogLine& line : story) events.push_back(line.event);
+  for (const LogLine& line : timeline) events.push_back(line.event);
   return events;
 }
 
-TEST(RequestStoryTest, ShowsWhatDecidedTheRequestInOrder) {
+TEST(RequestTimelineTest, ListsEventsThatAffectTheRequestInOrder) {
   std::istringstream logs(kLogs);
-  const std::vector<LogLine> story = RequestStory(ReadLogLines(logs), "42");
+  const std::vector<LogLine> timeline =
+      BuildRequestTimeline(ReadLogLines(logs), "42");
   const std::vector<std::string> expected = {"rules_in_force", "lease_held",
                                              "load_ordered",   "store_lost",
                                              "load_ready",     "request_end"};
-  EXPECT_EQ(Events(story), expected);
-  EXPECT_EQ(story[0].Value("version"), "9") << "the version of its rule";
-  EXPECT_EQ(story[2].Value("target"), "llm/m") << "its model, not another";
-  EXPECT_EQ(story[3].host, "a") << "its own host";
+  EXPECT_EQ(Events(timeline), expected);
+  EXPECT_EQ(timeline[0].Value("version"), "9") << "the version of its rule";
+  EXPECT_EQ(timeline[2].Value("target"), "llm/m") << "its model, not another";
+  EXPECT_EQ(timeline[3].host, "a") << "its own host";
 }
 
-// A request is refused as copies of it have ended servers, minutes before, at
-// other hosts and under other ids.
-TEST(RequestStoryTest, ShowsServersThatEndedUnderTheSameContent) {
+// Copies of a refused request, with other ids and at other hosts, terminated
+// servers minutes earlier.
+TEST(RequestTimelineTest, ListsServersTerminatedByTheSameContent) {
   std::istringstream logs(
       R"(time_ms=1000 host=b event=server_ended server=e1 fingerprint=00aa
 time_ms=1001 host=b event=server_ended server=e1 fingerprint=00bb
 time_ms=2000 host=c event=quarantine_begin fingerprint=00aa source="server e3"
 time_ms=900000 host=a event=request_end request=42 fingerprint=00aa rule=9/r action=refused reason="quarantined: x"
 )");
-  const std::vector<LogLine> story = RequestStory(ReadLogLines(logs), "42");
+  const std::vector<LogLine> timeline =
+      BuildRequestTimeline(ReadLogLines(logs), "42");
   const std::vector<std::string> expected = {"server_ended", "quarantine_begin",
                                              "request_end"};
-  EXPECT_EQ(Events(story), expected);
+  EXPECT_EQ(Events(timeline), expected);
 }
 
-TEST(RequestStoryTest, UnknownRequestHasNoStory) {
+TEST(RequestTimelineTest, IsEmptyForUnknownRequest) {
   std::istringstream logs(kLogs);
-  EXPECT_TRUE(RequestStory(ReadLogLines(logs), "44").empty());
+  EXPECT_TRUE(BuildRequestTimeline(ReadLogLines(logs), "44").empty());
 }
 
-TEST(RequestStoryTest, ReadsQuotedValues) {
+TEST(RequestTimelineTest, ParsesQuotedValues) {
   const auto line = ParseLogLine(
       R"(time_ms=5 level=info host=a event=x reason="he said \"no\" = y" next=1)");
   ASSERT_TRUE(line);
   EXPECT_EQ(line->Value("reason"), R"(he said "no" = y)");
   EXPECT_EQ(line->Value("next"), "1");
-  EXPECT_EQ(line->at, TimePoint(std::chrono::milliseconds(5)));
+  EXPECT_EQ(line->time, TimePoint(std::chrono::milliseconds(5)));
 }
 
-TEST(RequestStoryTest, ValuesReadAsTheyWereWritten) {
+TEST(RequestTimelineTest, ParsesValuesWrittenByAppendLogValue) {
   for (const char* value : {"", "plain", "two words", "a=b", "she said \"no\"",
                             "back\\slash", "two\nlines", "ends with \\"}) {
     std::string text = "time_ms=5 event=x reason=";
@@ -87,7 +89,7 @@
   }
 }
 
-TEST(RequestStoryTest, WhatIsNoLogLineIsLeftOut) {
+TEST(RequestTimelineTest, RejectsMalformedLogLines) {
   for (const char* text : {"", "hello", "time_ms=x event=y", "time_ms=5 host=a",
                            "time_ms=", "time_ms=5 event=y reason=\"open"}) {
     const auto line = ParseLogLine(text);
--- a/trial/trial_deployment.cc
+++ b/trial/trial_deployment.cc
@@ -12,8 +12,8 @@
 namespace applehall {
 namespace {
 
-constexpr int kMostWaits = 100;
-constexpr std::chrono::milliseconds kWait{100};
+constexpr int kMaxPolls = 100;
+constexpr std::chrono::milliseconds kPollInterval{100};
 constexpr Duration kCallTimeout = std::chrono::seconds(10);
 
 absl::StatusOr<Json> ReadJsonFile(const std::string& path) {
@@ -23,12 +23,12 @@
 }
 
 absl::StatusOr<Json> AwaitJsonFile(const std::string& path) {
-  for (int i = 0; i < kMostWaits; ++i) {
+  for (int i = 0; i < kMaxPolls; ++i) {
     absl::StatusOr<Json> json = ReadJsonFile(path);
     if (json.ok()) return json;
-    std::this_thread::sleep_for(kWait);
+    std::this_thread::sleep_for(kPollInterval);
   }
-  return absl::DeadlineExceededError(absl::StrCat(path, " did not appear"));
+  return absl::DeadlineExceededError(absl::StrCat(path, " was not written"));
 }
 
 HttpCall MakeCall(const Address& address, const std::string& method,
@@ -120,7 +120,8 @@
     const auto operators =
         ParseAddress(FieldOr<std::string>(*json, "operators", ""));
     if (!callers.ok() || !operators.ok()) {
-      return absl::InvalidArgumentError(name + ": malformed addresses");
+      return absl::InvalidArgumentError(
+          name + ": malformed callers or operators address");
     }
     entry.callers = *callers;
     entry.operators = *operators;
@@ -141,14 +142,14 @@
 absl::Status TrialDeployment::AwaitReady() const {
   for (const TrialHost& host : hosts_) {
     bool is_ready = false;
-    for (int i = 0; i < kMostWaits && !is_ready; ++i) {
+    for (int i = 0; i < kMaxPolls && !is_ready; ++i) {
       const HttpResult result =
           FetchBlocking(MakeCall(host.operators, "GET", "/readyz", ""));
       is_ready = result.is_ok();
-      if (!is_ready) std::this_thread::sleep_for(kWait);
+      if (!is_ready) std::this_thread::sleep_for(kPollInterval);
     }
     if (!is_ready) {
-      return absl::DeadlineExceededError(host.host + " does not become ready");
+      return absl::DeadlineExceededError(host.host + " did not become ready");
     }
   }
   return absl::OkStatus();
--- a/trial/trial_deployment.h
+++ b/trial/trial_deployment.h
@@ -11,7 +11,7 @@
 
 namespace applehall {
 
-// One entry host of a trial, as it wrote its addresses down.
+// An entry host of a trial, as read from its addresses file.
 struct TrialHost {
   std::string host;
   std::string data_centre;
@@ -19,8 +19,8 @@
   Address operators;
 };
 
-// A trial's folder: what to run, and the addresses of what runs.
-//   deployment.json   the hosts and the store's limits
+// A trial's folder, with the settings and the addresses of its processes.
+//   deployment.json   the hosts and the limits of the weight store
 //   addresses.json    written by the stand-ins
 //   HOST.json         settings, written by Prepare()
 //   HOST.addresses    written by each applehalld
@@ -30,13 +30,13 @@
 
   // Reads deployment.json and addresses.json. Not thread-safe.
   absl::Status Load();
-  // Writes the settings of every host and prints their names. Requires:
+  // Writes the settings of all hosts and prints their names. Requires:
   // Load(). Not thread-safe.
   absl::Status Prepare() const;
-  // Waits until every host wrote its addresses and enters them into the host
-  // list. Requires: Load(). Not thread-safe.
+  // Waits until all hosts have written their addresses and adds them to the
+  // host list. Requires: Load(). Not thread-safe.
   absl::Status Register();
-  // Waits until every host is ready. Requires: Register(). Not thread-safe.
+  // Waits until all hosts are ready. Requires: Register(). Not thread-safe.
   absl::Status AwaitReady() const;
 
   const Address& platform() const { return platform_; }
@@ -50,7 +50,8 @@
   std::vector<TrialHost> hosts_;
 };
 
-// Whole answer of GET or POST as JSON. Not thread-safe.
+// Sends a request and returns the body of the response as JSON. Blocks. Not
+// thread-safe.
 absl::StatusOr<Json> CallJson(const Address& address, const std::string& method,
                               const std::string& target,
                               const std::string& body = "");
--- a/trial/trial_latency.cc
+++ b/trial/trial_latency.cc
@@ -17,7 +17,7 @@
 constexpr int kStreams = 16;
 constexpr int kTokens = 400;
 
-double At(std::vector<double>& values, double share) {
+double Quantile(std::vector<double>& values, double share) {
   std::sort(values.begin(), values.end());
   return values[static_cast<size_t>(share *
                                     static_cast<double>(values.size() - 1))];
@@ -44,12 +44,12 @@
                                 Times& times) {
   const SystemClock clock;
   for (int i = 0; i < calls; ++i) {
-    TimePoint began = clock.Now();
+    TimePoint start = clock.Now();
     (void)co_await client.Fetch(direct);
-    times.direct_us.push_back(ToSeconds(clock.Now() - began) * 1e6);
-    began = clock.Now();
+    times.direct_us.push_back(ToSeconds(clock.Now() - start) * 1e6);
+    start = clock.Now();
     (void)co_await client.Fetch(through);
-    times.through_us.push_back(ToSeconds(clock.Now() - began) * 1e6);
+    times.through_us.push_back(ToSeconds(clock.Now() - start) * 1e6);
   }
 }
 
@@ -59,17 +59,18 @@
   bytes += result.response.body.size();
 }
 
-// Seconds that kStreams streams at once take, read to their ends.
+// Reads kStreams concurrent streams to their ends and returns the time taken in
+// seconds.
 double TimeStreams(const HttpCall& call, uint64_t& bytes) {
   asio::io_context io;
   HttpClient client(io);
   const SystemClock clock;
-  const TimePoint began = clock.Now();
+  const TimePoint start = clock.Now();
   for (int i = 0; i < kStreams; ++i) {
     asio::co_spawn(io, ReadStream(client, call, bytes), asio::detached);
   }
   io.run();
-  return ToSeconds(clock.Now() - began);
+  return ToSeconds(clock.Now() - start);
 }
 
 }  // namespace
@@ -109,7 +110,6 @@
                    asio::detached);
     io.run();
   }
-  // Streams of a model that this host's engines come to hold.
   const std::string model = CallJson(entry.callers, "GET", "/v1/models")
                                 .value_or(Json())["data"][0]["id"]
                                 .get<std::string>();
@@ -121,15 +121,15 @@
   const HttpCall streamed =
       MakeCall(entry.callers, "/v1/chat/completions", body);
   uint64_t bytes = 0;
-  (void)TimeStreams(streamed, bytes);  // Loads the model.
+  (void)TimeStreams(streamed, bytes);  // Loads the model first.
   bytes = 0;
   const double seconds = TimeStreams(streamed, bytes);
   const double chunks = static_cast<double>(bytes) / 130.0;
   Json result{{"calls", calls},
-              {"direct_p50_us", At(times.direct_us, 0.5)},
-              {"direct_p99_us", At(times.direct_us, 0.99)},
-              {"through_p50_us", At(times.through_us, 0.5)},
-              {"through_p99_us", At(times.through_us, 0.99)},
+              {"direct_p50_us", Quantile(times.direct_us, 0.5)},
+              {"direct_p99_us", Quantile(times.direct_us, 0.99)},
+              {"through_p50_us", Quantile(times.through_us, 0.5)},
+              {"through_p99_us", Quantile(times.through_us, 0.99)},
               {"stream_seconds", seconds},
               {"stream_bytes", bytes},
               {"stream_chunks_per_second", chunks / seconds}};
--- a/trial/trial_latency.h
+++ b/trial/trial_latency.h
@@ -6,9 +6,9 @@
 
 namespace applehall {
 
-// Times the same calls to a plain service and the same streams of an engine,
-// once straight to the stand-in and once through an entry host, in turns in
-// one run. Requires: a registered deployment that is ready.
+// Measures the latency of calls to a plain service, alternately sent directly
+// to the stand-in and through an entry host, and the throughput of streams
+// through the host. Requires: a registered deployment that is ready.
 absl::StatusOr<Json> MeasureLatency(const TrialDeployment& deployment,
                                     int calls);
 
--- a/trial/trial_load.cc
+++ b/trial/trial_load.cc
@@ -20,13 +20,13 @@
 
 namespace {
 
-constexpr int kMostTokens = 24;
+constexpr int kMaxTokens = 24;
 constexpr Duration kCallTimeout = std::chrono::seconds(60);
 constexpr double kServiceShare = 0.25;
 constexpr double kStreamShare = 0.5;
 constexpr double kBurstShare = 0.04;
 constexpr int kBurstSize = 6;
-constexpr size_t kMostModels = 12;
+constexpr size_t kMaxModels = 12;
 
 std::string MessagesBody(const std::string& model, const std::string& prompt,
                          int tokens, bool stream) {
@@ -41,7 +41,8 @@
   return ParseJson(body)->at("messages").dump();
 }
 
-// Puts the content of a stream's events together.
+// Concatenates the content of a stream's events and sets `model`; empty if the
+// stream is malformed or incomplete.
 std::string StreamContent(const std::string& body, std::string& model) {
   std::string content;
   size_t at = 0;
@@ -55,7 +56,7 @@
     model = FieldOr<std::string>(*chunk, "model", "");
     content += (*chunk)["choices"][0]["delta"]["content"].get<std::string>();
   }
-  return "";  // No [DONE]: not whole.
+  return "";  // Incomplete: no [DONE].
 }
 
 std::string WholeContent(const std::string& body, std::string& model) {
@@ -94,13 +95,13 @@
     for (const Json& item : (*list)["data"]) {
       models_.push_back(item["id"].get<std::string>());
     }
-    // Which models are called often is drawn by the seed.
+    // The seed determines which models are called often.
     std::sort(models_.begin(), models_.end());
     for (size_t i = models_.size(); i > 1; --i) {
       std::swap(models_[i - 1], models_[random_.Below(i)]);
     }
-    // Few enough for the weight store to bring them to every data centre.
-    models_.resize(std::min(models_.size(), kMostModels));
+    // The weight store must have time to serve them to all data centres.
+    models_.resize(std::min(models_.size(), kMaxModels));
     const Json hosts =
         CallJson(deployment_.platform(), "GET", "/hosts").value_or(Json());
     for (const Json& host : hosts["hosts"]) {
@@ -109,13 +110,13 @@
     }
   }
 
-  const TrialHost& AnyHost() {
+  const TrialHost& RandomHost() {
     const auto& hosts = deployment_.hosts();
     return hosts[random_.Below(hosts.size())];
   }
 
   // Few models get most of the calls; most are called rarely.
-  const std::string& AnyModel() {
+  const std::string& RandomModel() {
     const double skewed = std::pow(random_.Unit(), 3.0);
     return models_[static_cast<size_t>(skewed * models_.size())];
   }
@@ -123,7 +124,7 @@
   Task Generate() {
     const TimePoint end = clock_.Now() + settings_.length;
     while (clock_.Now() < end && !models_.empty()) {
-      SendSomething();
+      SendNext();
       const double pause =
           -std::log(1.0 - random_.Unit()) / settings_.requests_per_second;
       asio::steady_timer timer(io_, FromSeconds(pause));
@@ -131,34 +132,34 @@
     }
   }
 
-  void SendSomething() {
+  void SendNext() {
     const double kind = random_.Unit();
     if (kind < kServiceShare && !service_.empty()) {
       SendServiceCall();
       return;
     }
     const int copies = kind > 1.0 - kBurstShare ? kBurstSize : 1;
-    const std::string model = AnyModel();
+    const std::string model = RandomModel();
     for (int i = 0; i < copies; ++i) {
-      const int tokens = 1 + static_cast<int>(random_.Below(kMostTokens));
+      const int tokens = 1 + static_cast<int>(random_.Below(kMaxTokens));
       const std::string prompt =
           absl::StrCat("prompt ", random_.Next(), " of ", model);
       asio::co_spawn(io_,
-                     CallModel(AnyHost(), model, prompt, tokens,
+                     CallModel(RandomHost(), model, prompt, tokens,
                                random_.Unit() < kStreamShare),
                      asio::detached);
     }
   }
 
-  // Half of the service calls may not be repeated; each of those is sent to
-  // two hosts at once, as an impatient caller would.
+  // Half of the service calls are non-repeatable; each of those is sent to two
+  // hosts at once, as by a caller that retries early.
   void SendServiceCall() {
     const bool once = random_.Unit() < 0.5;
     const std::string path = service_ == "locker-api" ? "/doors/7" : "/posts";
     const std::string key = once ? MakeUuid7(clock_.Now(), random_) : "";
     for (int i = 0; i < (once ? 2 : 1); ++i) {
       asio::co_spawn(io_,
-                     CallService(AnyHost(),
+                     CallService(RandomHost(),
                                  absl::StrCat("/services/", service_,
                                               once ? path : "/search"),
                                  once ? "POST" : "GET", key),
@@ -179,8 +180,8 @@
     return call;
   }
 
-  // Records what every call has in common; true if it was answered.
-  bool Record(const HttpResult& http, TimePoint began) {
+  // Records the outcome of a call; returns true if it succeeded.
+  bool Record(const HttpResult& http, TimePoint start) {
     ++result_.sent;
     if (http.state != SendState::kAnswered) {
       ++result_.without_outcome;
@@ -190,7 +191,7 @@
     if (rule != http.response.headers.end()) ++result_.by_rule[rule->second];
     if (http.response.status / 100 == 2) {
       ++result_.answered;
-      result_.latency.Add(clock_.Now() - began);
+      result_.latency.Add(clock_.Now() - start);
       return true;
     }
     const absl::StatusOr<Json> body = ParseJson(http.response.body);
@@ -207,10 +208,10 @@
   Task CallModel(TrialHost host, std::string model, std::string prompt,
                  int tokens, bool stream) {
     const std::string body = MessagesBody(model, prompt, tokens, stream);
-    const TimePoint began = clock_.Now();
+    const TimePoint start = clock_.Now();
     const HttpCall call = MakeCall(host, "POST", "/v1/chat/completions", body);
     const HttpResult http = co_await client_.Fetch(call);
-    if (!Record(http, began)) co_return;
+    if (!Record(http, start)) co_return;
     std::string answered_by;
     const std::string content =
         stream ? StreamContent(http.response.body, answered_by)
@@ -227,9 +228,9 @@
       call.request.headers["idempotency-key"] = key;
       keys_.try_emplace(key, false);
     }
-    const TimePoint began = clock_.Now();
+    const TimePoint start = clock_.Now();
     const HttpResult http = co_await client_.Fetch(call);
-    const bool is_answered = Record(http, began);
+    const bool is_answered = Record(http, start);
     if (key.empty()) co_return;
     const bool is_not_run =
         !is_answered &&
@@ -246,7 +247,7 @@
   TrialResult result_;
   std::vector<std::string> models_;
   std::string service_;
-  std::map<std::string, bool> keys_;  // True: may have run.
+  std::map<std::string, bool> keys_;  // Value: the call may have run.
 };
 
 class PromiseCheck {
@@ -262,7 +263,8 @@
   int broken_ = 0;
 };
 
-int MostReplicasOverBound(const Json& truth, const std::string& rules_path) {
+int CountModelsOverReplicaLimit(const Json& truth,
+                                const std::string& rules_path) {
   const absl::StatusOr<std::string> text = ReadFile(rules_path);
   if (!text.ok()) return -1;
   const absl::StatusOr<Json> document = ParseJson(*text);
@@ -301,7 +303,7 @@
     idle += engine["idle_seconds"].get<double>();
     held += engine["held_seconds"].get<double>();
   }
-  int most_runs = 0;
+  int max_runs = 0;
   uint64_t false_not_run = 0;
   std::map<std::string, int> runs;
   for (const auto& [name, service] : (*truth)["services"].items()) {
@@ -310,7 +312,7 @@
     }
   }
   for (const auto& [key, count] : runs) {
-    most_runs = std::max(most_runs, count);
+    max_runs = std::max(max_runs, count);
     if (count > 1) std::cout << "ran " << count << " times: " << key << "\n";
   }
   for (const std::string& key : result.keys_not_run) {
@@ -331,7 +333,7 @@
   }
   std::vector<int64_t> waits = cold.get<std::vector<int64_t>>();
   std::sort(waits.begin(), waits.end());
-  const auto at = [&](double share) -> int64_t {
+  const auto quantile = [&](double share) -> int64_t {
     if (waits.empty()) return 0;
     return waits[static_cast<size_t>(share * (waits.size() - 1))];
   };
@@ -345,7 +347,8 @@
             << " / " << result.latency.p95() * 1000 << " / "
             << result.latency.max() * 1000 << "\n"
             << "cold starts       " << cold_starts << ", wait p50/p95/max ms   "
-            << at(0.5) << " / " << at(0.95) << " / " << at(1.0) << "\n"
+            << quantile(0.5) << " / " << quantile(0.95) << " / "
+            << quantile(1.0) << "\n"
             << "loads done        " << loads << ", store fetches "
             << (*truth)["store_fetches"] << ", log appends "
             << (*truth)["log_appends"] << "\n"
@@ -356,7 +359,7 @@
   }
   std::cout << "promises\n";
   PromiseCheck check;
-  const int over = MostReplicasOverBound(*truth, rules_path);
+  const int over = CountModelsOverReplicaLimit(*truth, rules_path);
   check.Expect(over == 0, "no more replicas than the rules allow",
                absl::StrCat(over, " models over"));
   check.Expect(overcommitted == 0, "no engine's memory overcommitted",
@@ -368,8 +371,8 @@
                absl::StrCat(result.wrong_answers, " wrong"));
   check.Expect(false_not_run == 0, "\"not run\" is true",
                absl::StrCat(false_not_run, " false"));
-  check.Expect(most_runs <= 1, "non-repeatable requests ran at most once",
-               absl::StrCat(result.keys_used, " keys, most runs ", most_runs));
+  check.Expect(max_runs <= 1, "non-repeatable requests ran at most once",
+               absl::StrCat(result.keys_used, " keys, max runs ", max_runs));
   return check.broken();
 }
 
--- a/trial/trial_load.h
+++ b/trial/trial_load.h
@@ -16,29 +16,29 @@
   double requests_per_second = 60.0;
 };
 
-// What the callers of a trial saw.
+// Outcomes of the requests of a trial, as its callers received them.
 struct TrialResult {
   uint64_t sent = 0;
   uint64_t answered = 0;
-  uint64_t wrong_answers = 0;               // Not whole, or somebody else's.
-  uint64_t without_outcome = 0;             // No HTTP answer at all.
+  uint64_t wrong_answers = 0;               // Incomplete or of another request.
+  uint64_t without_outcome = 0;             // No HTTP response.
   std::map<std::string, uint64_t> refused;  // By reason.
   std::map<std::string, uint64_t> by_rule;  // Answers and refusals.
   DurationSummary latency;
   DurationSummary first_byte;
-  // Keys whose every use was refused as not run.
+  // Idempotency keys for which all calls were refused with verdict not_run.
   std::vector<std::string> keys_not_run;
   uint64_t keys_used = 0;
 };
 
-// Sends a short mixed load to every host of a deployment: bursts at several
-// hosts for the same cold models, streams, and service calls that may not be
-// repeated, each sent to two hosts at once. Checks every answer.
+// Sends a short mixed load to the hosts of a deployment: bursts of requests for
+// one model at several hosts, streams, and non-repeatable service calls that
+// are each sent to two hosts at once. Checks all responses.
 TrialResult RunTrialLoad(const TrialDeployment& deployment,
                          const TrialLoadSettings& settings);
 
-// Prints the table and holds the truth of the stand-ins against the promises;
-// the number of promises broken.
+// Prints the results, checks the guarantees of the system against the records
+// of the stand-ins and returns the number of violated guarantees.
 int ReportTrial(const TrialDeployment& deployment, const TrialResult& result,
                 const std::string& rules_path);
 
