--- a/main/operator_commands.cc
+++ b/main/operator_commands.cc
@@ -14,7 +14,7 @@
 #include "core/uuid.h"
 #include "drivers/http_client.h"
 #include "drivers/platform_client.h"
-#include "main/request_story.h"
+#include "main/request_timeline.h"
 #include "node/control_fold.h"
 #include "rules/rule_checker.h"
 #include "rules/rule_explainer.h"
@@ -144,8 +144,8 @@
   } else if (is_accepted) {
     std::cout << "published version " << outcome.offset << "\n";
   } else {
-    std::cout << "rejected: " << why << "; version " << rules.version()
-              << " by " << author << " is in force\n";
+    std::cout << "void: " << why << "; version " << rules.version() << " by "
+              << author << " is in force\n";
   }
   return is_accepted ? CommandExit::kOk : CommandExit::kFailed;
 }
--- a/measure/arrivals.h
+++ b/measure/arrivals.h
@@ -18,7 +18,7 @@
   std::string caller;
   Duration deadline{0};
   double worth = 1.0;
-  bool is_first = false;  // Of a burst.
+  bool is_first = false;  // First request of a burst.
 };
 
 // Parameters of one user's load.
