--- a/main/applehall.cc
+++ b/main/applehall.cc
@@ -30,7 +30,7 @@
   uint64_t base = 0;
   std::function<CommandExit()> run;
 
-  CLI::App* rules = app.add_subcommand("rules", "Rule sets");
+  CLI::App* rules = app.add_subcommand("rules", "Manage rule sets");
   rules->require_subcommand(1);
   rules->fallthrough();
 
--- a/measure/experiment.h
+++ b/measure/experiment.h
@@ -52,7 +52,7 @@
   std::map<std::string, uint64_t> refused;
   uint64_t loads = 0;
   double store_wait = 0;
-  std::set<std::string> broken;
+  std::set<std::string> broken;  // Names of the promises that were broken.
   // Indices in the arrival list of urgent requests answered in time.
   std::set<size_t> urgent_answered;
 
