--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -197,7 +197,7 @@
     return;
   }
   if (log_down_ || cut_.contains(host.data_centre)) {
-    Tell(name, life, LogFailed{});
+    Tell(name, life, LogUnavailable{});
     At(kLogRetry, again);
     return;
   }
@@ -210,7 +210,7 @@
     from = std::max(from, batch.first_offset);
     if (!batch.records.empty()) from = batch.records.back().offset + 1;
     At(settings_.log_delay + log_extra_, [=, this] {
-      if (!log_down_) Tell(name, life, LogRead{batch});
+      if (!log_down_) Tell(name, life, LogBatchRead{batch});
     });
   }
   At(std::max(settings_.tick, settings_.log_delay + log_extra_), again);
@@ -288,14 +288,14 @@
   const uint64_t life = host.life;
   if (cut_.contains(host.data_centre)) {
     At(kLogRetry, [=, this] {
-      Tell(name, life, LogFailed{});
+      Tell(name, life, LogUnavailable{});
       Tell(name, life, AppendEnded{action.record_id, false});
     });
     return;
   }
   At(settings_.log_delay + log_extra_, [=, this] {
     if (log_down_) {
-      Tell(name, life, LogFailed{});
+      Tell(name, life, LogUnavailable{});
       Tell(name, life, AppendEnded{action.record_id, false});
       return;
     }
@@ -340,8 +340,8 @@
   At(Delay(host, action.engine) + late, [=, this] {
     // Over the wire ages are relative, so times shift by the delay.
     Tell(host, life,
-         EngineAnswered{Inventory::FromJson(inventory.ToJson(asked_at), now_),
-                        asked_at});
+         InventoryReceived{
+             Inventory::FromJson(inventory.ToJson(asked_at), now_), asked_at});
   });
 }
 
@@ -626,7 +626,7 @@
       const RequestHandle handle = it->first;
       host->origins.erase(it);
       open_.erase(request);
-      Tell(name, host->life, CallerGone{handle});
+      Tell(name, host->life, CallerDisconnected{handle});
       return;
     }
   }
--- a/standins/deployment.h
+++ b/standins/deployment.h
@@ -185,8 +185,8 @@
   // Only fleets have a lease; these hosts place by groups.
   void On(Host&, const ReadLease&) {}
   void On(Host&, const AppendLease&) {}
-  void On(Host&, const FollowStore&) {}
-  void On(Host&, const TakeStoreNews&) {}
+  void On(Host&, const SetStorePolling&) {}
+  void On(Host&, const ApplyStoreUpdates&) {}
   void On(Host&, const ReadQuarantine&) {}
   void On(Host&, const AppendQuarantine&) {}
   void On(Host& host, const ProbeServer& action);
