--- a/standins/answer_text.h
+++ b/standins/answer_text.h
@@ -7,9 +7,9 @@
 
 namespace applehall {
 
-// Token `index` of a stand-in engine's answer. Depends on model and prompt
-// only, so that a caller can check that it got the whole answer to its own
-// request.
+// Returns token `index` of a stand-in engine's answer. It depends on model and
+// prompt only, so that a caller can verify that it received the complete answer
+// to its own request.
 inline std::string AnswerToken(const std::string& model,
                                const std::string& prompt, int index) {
   const uint64_t hash =
--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -7,7 +7,7 @@
 namespace applehall {
 namespace {
 
-// From the end of an engine until it listens again.
+// Time from the crash of an engine until it listens again.
 constexpr Duration kEngineStart = std::chrono::seconds(2);
 // All poison requests have the same content.
 constexpr uint64_t kPoisonFingerprint = 77;
@@ -15,10 +15,10 @@
 constexpr Duration kLogRetry = std::chrono::milliseconds(200);
 constexpr Duration kServiceCallTime = std::chrono::milliseconds(5);
 constexpr size_t kMostRead = 500;
-// A paused host finds at most this much waiting when it wakes; the rest was
+// Maximum number of events that a paused host receives on resume; the rest is
 // lost with its connections.
 constexpr size_t kMostBacklog = 20000;
-// After its deadline, for a request to have its outcome.
+// Time after its deadline by which a request must have its outcome.
 constexpr Duration kOutcomeGrace = std::chrono::minutes(1);
 
 }  // namespace
@@ -26,12 +26,12 @@
 struct Deployment::Host {
   std::string name;
   std::string data_centre;
-  uint64_t life = 0;  // The incarnation; events for an earlier one are lost.
+  uint64_t life = 0;  // Events for an earlier incarnation are dropped.
   std::unique_ptr<Node> node;
   bool is_alive = true;
   bool is_paused = false;
   std::vector<Event> backlog;
-  // Orders that were decided but not put on the wire when it was paused.
+  // Orders that were decided but not sent before the pause.
   std::vector<SendOrder> unsent_orders;
   TimePoint resumed_at;
   RequestHandle next_handle = 1;
@@ -138,8 +138,8 @@
 }
 
 void Deployment::RunUntil(const std::function<bool()>& condition,
-                          Duration most) {
-  const TimePoint end = now_ + most;
+                          Duration max_duration) {
+  const TimePoint end = now_ + max_duration;
   while (!condition()) {
     if (queue_.empty() || queue_.top().when > end) {
       now_ = end;
@@ -334,11 +334,11 @@
   const TimePoint asked_at = now_;
   const Inventory inventory = it->second->TakeOrder(action.order, now_);
   if (action.order.kind != OrderKind::kInspect) CheckEngines();
-  // Answers are lost and late as orders are.
+  // Answers are lost and delayed at the same rates as orders.
   if (order_loss_ > 0 && random_.Unit() < order_loss_) return;
   const Duration late = FromSeconds(ToSeconds(order_late_) * random_.Unit());
   At(Delay(host, action.engine) + late, [=, this] {
-    // Over the wire ages are relative, so times shift by the delay.
+    // Ages are relative in the wire format, so times shift by the delay.
     Tell(host, life,
          EngineAnswered{Inventory::FromJson(inventory.ToJson(asked_at), now_),
                         asked_at});
@@ -371,7 +371,7 @@
   const auto it = hosts_.find(host);
   if (result == AttemptResult::kCompleted && it != hosts_.end() &&
       it->second->life == life) {
-    // The answer itself goes past the node to the caller.
+    // The answer itself reaches the caller without passing the node.
     const auto origin = it->second->origins.find(action.handle);
     if (origin != it->second->origins.end() && it->second->is_alive) {
       Settle(origin->second, true, {}, action.rule);
@@ -404,7 +404,7 @@
       return end(AttemptResult::kNotSent, {});
     }
     if (failing_engines_.contains(action.backend)) {
-      // Whether a broken request has run is not known; it counts as one.
+      // A request that fails midway may have run, so it counts as a run.
       const bool is_broken = random_.Below(2) == 0;
       if (is_broken) ++runs_of_request_[request];
       return end(is_broken ? AttemptResult::kBroken : AttemptResult::kNotSent,
@@ -465,7 +465,7 @@
     const std::string key = request == 0 ? "" : outcomes_.at(request).key;
     ++runs_of_request_[request];
     if (!key.empty() && ++service.runs[key] && RunsOfKey(key) > 1) {
-      Break("a key ran twice: " + key);
+      Break("idempotency key executed twice: " + key);
     }
     const AttemptResult result =
         service.is_failing ? AttemptResult::kBroken : AttemptResult::kCompleted;
@@ -504,7 +504,7 @@
 }
 
 void Deployment::On(Host&, const CancelAttempt&) {
-  // Engines finish what they began; the answer then finds nobody.
+  // Engines finish requests that they started; the answer is then dropped.
 }
 
 void Deployment::On(Host& host, const RefuseRequest& action) {
@@ -527,7 +527,7 @@
 }
 
 void Deployment::On(Host& host, const Drained&) {
-  if (!host.origins.empty()) Break("a drain cut a request");
+  if (!host.origins.empty()) Break("drain ended with open requests");
   host.is_alive = false;
 }
 
@@ -656,11 +656,11 @@
   outcome.rule = rule;
   outcome.ended_at = now_;
   open_.erase(origin.request);
-  if (outcome.answers > 1) Break("a request was answered twice");
+  if (outcome.answers > 1) Break("a request was answered more than once");
   if (!answered && refusal.verdict == Verdict::kNotRun &&
       runs_of_request_[origin.request] > 0) {
-    Break(absl::StrCat("\"not run\" was not true: request ", origin.request,
-                       ", ", refusal.detail));
+    Break(absl::StrCat("refused as \"not run\" but executed: request ",
+                       origin.request, ", ", refusal.detail));
   }
 }
 
@@ -669,7 +669,7 @@
 void Deployment::KillHost(const std::string& name) {
   Host& host = *hosts_.at(name);
   host.is_alive = false;
-  // Its callers see their connections break: an outcome, if not a good one.
+  // The callers' connections break, which counts as an outcome.
   for (const auto& [handle, origin] : host.origins) {
     if (origin.from_host.empty()) {
       open_.erase(origin.request);
@@ -727,10 +727,11 @@
   for (auto& [name, engine] : engines_) engine->SetReportLag(lag);
 }
 
-void Deployment::SetOrderFaults(double lost, double doubled, Duration late) {
-  order_loss_ = lost;
-  order_doubling_ = doubled;
-  order_late_ = late;
+void Deployment::SetOrderFaults(double loss, double duplication,
+                                Duration max_delay) {
+  order_loss_ = loss;
+  order_doubling_ = duplication;
+  order_late_ = max_delay;
 }
 
 void Deployment::CutDataCentre(const std::string& name, bool cut) {
@@ -831,12 +832,15 @@
   return total;
 }
 
-// The promises, against what really is.
+// ---- Invariants ----
+
+// Rule set versions never decrease at a host.
 void Deployment::CheckVersion(const Host& host) {
   const auto rules = host.node->context().control.rules().current();
   if (!rules) return;
   LogOffset& seen = versions_seen_[absl::StrCat(host.name, "@", host.life)];
-  if (rules->version < seen) Break("a rule set went back on " + host.name);
+  if (rules->version < seen)
+    Break("rule set version decreased on host " + host.name);
   seen = std::max(seen, rules->version);
   if (rules->version <= truth_version_) return;
   truth_version_ = rules->version;
@@ -846,7 +850,8 @@
 void Deployment::CheckEngines() {
   std::map<std::string, int> replicas;
   for (const auto& [name, engine] : engines_) {
-    if (engine->was_overcommitted()) Break("overcommitted: " + name);
+    if (engine->was_overcommitted())
+      Break("engine memory overcommitted: " + name);
     for (const std::string& model : engine->Resident()) {
       ++replicas[absl::StrCat(engine->settings().data_centre, "/", model)];
     }
@@ -854,19 +859,20 @@
   for (const auto& [name, count] : replicas) {
     if (count <= 1 && truth_version_ > 0) continue;
     const std::string model = name.substr(name.find('/') + 1);
-    int most = truth_bounds_.For(model).most;
+    int allowed = truth_bounds_.For(model).most;
     for (const CatalogueEntry& entry : settings_.catalogue) {
-      // A base model may be held for its adapters.
+      // A base model may be loaded for its adapters.
       if (entry.base != model) continue;
-      most = std::max(most, truth_bounds_.For(entry.name).most);
+      allowed = std::max(allowed, truth_bounds_.For(entry.name).most);
     }
-    if (count > most) {
+    if (count > allowed) {
       Break(absl::StrCat("too many replicas: ", count, " of ", name));
     }
   }
 }
 
-// A frozen process answers nobody; what it held is owed from when it goes on.
+// Each request has an outcome soon after its deadline. Requests of a paused
+// host are due after it resumes.
 void Deployment::CheckOpenRequests() {
   std::map<uint64_t, const Host*> holders;
   for (const auto& [name, host] : hosts_) {
@@ -882,7 +888,9 @@
       owed_at = std::max(owed_at, holder->second->resumed_at);
     }
     if (owed_at + kOutcomeGrace < now_) {
-      Break(absl::StrCat("request ", id, " has no outcome in time"));
+      Break(
+          absl::StrCat("request ", id,
+                       " has no outcome within its deadline and grace period"));
     }
   }
 }
--- a/standins/deployment.h
+++ b/standins/deployment.h
@@ -21,8 +21,8 @@
   uint64_t seed = 1;
   std::vector<std::string> data_centres = {"north", "south"};
   int hosts_per_data_centre = 2;
-  int engines = 4;           // Dealt to the data centres in turn.
-  int unfenced_engines = 0;  // Of these, the last ones.
+  int engines = 4;           // Assigned to the data centres round robin.
+  int unfenced_engines = 0;  // The last ones of `engines`.
   int services = 2;
   int slots = 8;
   uint64_t engine_bytes = 4'000'000'000;
@@ -40,17 +40,17 @@
   Duration log_delay = std::chrono::milliseconds(3);
   Duration host_list_lag = std::chrono::milliseconds(1000);
   Duration log_retention = std::chrono::hours(24);
-  NodeSettings node;  // Names and data centres are filled in.
+  NodeSettings node;  // Names and data centres are set for each host.
 };
 
-// What one caller saw of one request.
+// Outcome of one request as its caller observed it.
 struct RequestOutcome {
-  int answers = 0;  // Must become exactly 1.
+  int answers = 0;  // Must be exactly 1 in the end.
   bool is_answered = false;
   Refusal refusal;
   TimePoint sent_at;
   TimePoint ended_at;
-  TimePoint limit;  // Its deadline.
+  TimePoint limit;  // Deadline of the request.
   std::string model;
   std::string key;
   std::string rule;
@@ -58,10 +58,10 @@
   bool was_cold = false;
 };
 
-// Several nodes, wired to the fakes under a paused clock, with the failures
-// of the brief. Not a simulator of clusters: messages are delayed, lost and
-// doubled, and that is all; the tests and the measurements run the production
-// decision parts in it.
+// Runs several nodes with their production decision code against the fakes
+// under a manual clock, for tests and experiments. Injects failures of hosts,
+// engines, the log, the store and the network; messages are only delayed, lost
+// and duplicated. Not thread-safe.
 class Deployment {
  public:
   explicit Deployment(DeploymentSettings settings);
@@ -70,46 +70,56 @@
   // ---- Commands ----
 
   void RunFor(Duration span);
-  void RunUntil(const std::function<bool()>& condition, Duration most);
-  // Publishes a rule set on base `base`; the record's id.
+  // Runs until `condition` holds, but at most for `max_duration`.
+  void RunUntil(const std::function<bool()>& condition, Duration max_duration);
+  // Publishes a rule set on base `base`; returns the record's id.
   std::string Publish(const Json& document, LogOffset base);
-  // A caller's request at a host; its id for outcome().
+  // Sends a caller's request to a host; returns its id for outcome().
   uint64_t Send(const std::string& host, const std::string& model,
                 const std::string& caller = "caller",
                 std::optional<Duration> deadline = std::nullopt,
                 const std::string& key = "");
-  // A request whose content ends each engine that begins to run it; the engine
-  // starts again under its name.
+  // Sends a poison message: it crashes each engine that starts to execute it;
+  // the engine restarts under the same name. Returns its id for outcome().
   uint64_t SendPoison(const std::string& host, const std::string& model);
   uint64_t CallService(const std::string& host, const std::string& service,
                        const std::string& key);
+  // Disconnects the caller of a request.
   void Leave(uint64_t request);
 
-  // Failures. Each lasts until taken back.
+  // Failures. Each lasts until it is reset.
   void KillHost(const std::string& host);
-  void ReviveHost(const std::string& host);  // As a new incarnation.
+  // Starts the host again as a new incarnation.
+  void ReviveHost(const std::string& host);
   void PauseHost(const std::string& host);
   void ResumeHost(const std::string& host);
   void DrainHost(const std::string& host);
-  // The platform's host list: marks a host or backend server as leaving, or
-  // takes it off.
+  // Marks a host or backend server as leaving in the platform's host list, or
+  // removes it from the list.
   void ListLeaving(const std::string& name);
   void ListGone(const std::string& name);
   void SetLogDown(bool down) { log_down_ = down; }
+  // Adds `extra` to the latency of log reads and appends.
   void SetLogSlow(Duration extra) { log_extra_ = extra; }
+  // Multiplies the time of weight store fetches.
   void SetStoreSlow(double factor) { store_.SetSlowness(factor); }
   void SetReportLag(Duration lag);
+  // The next `count` appends take effect, but report a failure.
   void LoseAppendAnswers(int count) { lose_append_answers_ = count; }
-  void SetOrderFaults(double lost, double doubled, Duration late);
+  // Loses and duplicates these shares of the engine orders, and delays orders
+  // and their answers by up to `max_delay`.
+  void SetOrderFaults(double loss, double duplication, Duration max_delay);
+  // Cuts the network between a data centre and all others, log and host list
+  // included.
   void CutDataCentre(const std::string& name, bool cut);
   void FailEngine(const std::string& name, bool failing);
-  // Engines break this share of the requests they begin.
+  // Engines fail this share of the requests that they started.
   void SetEngineFlakiness(double share) { flakiness_ = share; }
-  // Services take calls, and break before they answer.
+  // Services execute calls, but fail before they answer.
   void FailServices(bool failing);
   void RestartEngine(const std::string& name);
   void FailLoads(bool fail);
-  // Before each peer message; false drops it.
+  // Drops this share of the messages between hosts.
   void SetPeerLoss(double share) { peer_loss_ = share; }
 
   // ---- Queries ----
@@ -130,15 +140,15 @@
   }
   int RunsOfKey(const std::string& key) const;
   uint64_t dispatched() const { return dispatched_; }
-  // When engines ended under poison requests, in the order of time.
+  // Times at which poison requests crashed engines, ascending.
   const std::vector<TimePoint>& poison_ends() const { return poison_ends_; }
   uint64_t loads_decided() const;
-  // Promises broken so far, each with what was seen; checked after each step
-  // against the fakes, not against the nodes' own tables.
+  // Invariants violated so far, with details; checked after each step against
+  // the state of the fakes, not against the nodes' own tables.
   const std::set<std::string>& broken_promises() const { return broken_; }
   Duration idle_time() const;
   double idle_engine_seconds() const;
-  // A replica of `model` is ready in the data centre of `host`.
+  // True if a replica of `model` is ready in the data centre of `host`.
   bool IsWarm(const std::string& host, const std::string& model) const;
   Duration held_time() const;
 
@@ -160,9 +170,9 @@
       return order > other.order;
     }
   };
-  // Where a request handle of a host came from.
+  // Sender of the request that a host knows by a handle.
   struct Origin {
-    uint64_t request = 0;  // Of a caller, if not forwarded.
+    uint64_t request = 0;  // The caller's request.
     std::string from_host;
     RequestHandle from_handle = 0;
     int from_attempt = 0;
@@ -182,7 +192,8 @@
   void On(Host& host, const SendPeer& action);
   void On(Host& host, const SendPeers& action);
   void On(Host& host, const Drained& action);
-  // Only fleets have a lease; these hosts place by groups.
+  // Not needed: leases, store updates and the quarantine topic belong to
+  // fleets; these hosts place models by groups.
   void On(Host&, const ReadLease&) {}
   void On(Host&, const AppendLease&) {}
   void On(Host&, const FollowStore&) {}
@@ -234,7 +245,7 @@
   std::map<uint64_t, int> runs_of_request_;
   std::set<uint64_t> poisons_;
   std::vector<TimePoint> poison_ends_;
-  std::map<std::string, TimePoint> starting_until_;  // Engines that ended.
+  std::map<std::string, TimePoint> starting_until_;  // Crashed engines.
   uint64_t request_count_ = 0;
   uint64_t publish_count_ = 0;
   uint64_t next_incarnation_ = 1;
--- a/standins/fake_counted_engine.h
+++ b/standins/fake_counted_engine.h
@@ -10,9 +10,9 @@
 
 namespace applehall {
 
-// An engine that carries out one model order at a time, counts the orders it
-// accepted and refuses those that were decided on another count. Adapters come
-// and go at once, without making it busy.
+// A model engine that executes one model order at a time, counts the orders it
+// accepted and refuses those whose precondition names another count. Adapters
+// are loaded and unloaded at once, without making it busy. Not thread-safe.
 class FakeCountedEngine {
  public:
   FakeCountedEngine(std::string id, std::string service, uint64_t memory_bytes,
@@ -22,24 +22,25 @@
         memory_bytes_(memory_bytes),
         adapter_slots_(adapter_slots) {}
 
-  // How long loads take by whether a copy is at hand. Not thread-safe.
+  // Durations of loads with and without a copy on disk, and of unloads.
   Duration load_from_disk = std::chrono::milliseconds(1600);
   Duration load_from_store = std::chrono::milliseconds(6000);
   Duration unload_time = std::chrono::milliseconds(30);
 
-  // Puts a model there, as at the start of a day.
+  // Adds a loaded model without an order, with a copy on disk.
   void Hold(const std::string& model, uint64_t bytes);
-  // It lost a model without an order, and keeps its copy on disk.
+  // Removes a model without an order; its copy on disk remains.
   void Drop(const std::string& model) { held_.erase(model); }
   OrderResult Take(const EngineOrder& order, TimePoint now);
-  // It starts again under its id: empty but for its disk, with counts anew.
+  // Restarts the engine under its id: memory and counts are reset, the copies
+  // on disk remain.
   void Restart(TimePoint now);
-  // Ends what is due. Call it before each question.
+  // Completes the order under way if it is due. Call before each query.
   void Advance(TimePoint now);
   Inventory Report() const;
   ListedServer Listing() const;
   bool Holds(const std::string& name) const { return held_.contains(name); }
-  // It was ordered to load more than fits, which would have crashed it.
+  // True if it was ordered to load more than fits, which crashes a real engine.
   bool was_overcommitted() const { return was_overcommitted_; }
   int model_loads() const { return model_loads_; }
 
--- a/standins/fake_engine.cc
+++ b/standins/fake_engine.cc
@@ -14,7 +14,7 @@
                      [&](const auto& item) { return item.first == name; });
 }
 
-// Puts a checkpoint last; the result is what no longer fits.
+// Inserts a checkpoint as the most recently used; returns the evicted ones.
 Cache Insert(Cache& cache, const std::string& name, uint64_t bytes,
              uint64_t limit) {
   std::erase_if(cache, [&](const auto& item) { return item.first == name; });
@@ -125,8 +125,8 @@
   return order.kind == OrderKind::kLoad ? Load(order, now) : Unload(order, now);
 }
 
-// An engine does what it is told: it does not refuse a load for lack of
-// memory, it breaks. The truth remembers that as overcommitted.
+// Like real engines, this one does not refuse a load for lack of memory; a real
+// one would crash. The load is recorded as an overcommitment instead.
 OrderResult FakeEngine::Load(const EngineOrder& order, TimePoint now) {
   if (slots_.contains(order.name)) return OrderResult::kDone;
   const CatalogueEntry* entry = store_.Find(order.name);
--- a/standins/fake_engine.h
+++ b/standins/fake_engine.h
@@ -26,42 +26,43 @@
   Duration report_lag = std::chrono::milliseconds(300);
 };
 
-// A model engine, without sockets: memory, cache tiers, orders with fences,
-// slots and load reports that lag. It keeps the truth that tests hold the
-// owner to.
+// A model engine without sockets: memory, checkpoint cache tiers, orders with
+// fencing tokens, request slots and delayed load reports. Its counters are the
+// ground truth for tests. Not thread-safe.
 class FakeEngine {
  public:
   FakeEngine(FakeEngineSettings settings, FakeWeightStore& store);
 
-  // Obeys or refuses an order and answers with the inventory. Not thread-safe.
+  // Executes or refuses an order and returns the inventory. Not thread-safe.
   Inventory TakeOrder(const EngineOrder& order, TimePoint now);
 
   enum class StartResult : uint8_t { kStarted, kModelAbsent, kFull };
-  // A request for `target` begins / ends. Not thread-safe.
+  // Starts / ends a request for `target`. Not thread-safe.
   StartResult StartRequest(const std::string& target, TimePoint now);
   void EndRequest(const std::string& target, TimePoint now);
-  // Completes what is due. Call before looking at the engine.
+  // Completes the loads that are due. Call before each query.
   void Advance(TimePoint now);
-  // Loads ordered from now on fail.
+  // Makes loads ordered from now on fail.
   void SetFailLoads(bool fail) { fail_loads_ = fail; }
   void SetReportLag(Duration lag) { settings_.report_lag = lag; }
-  // Loses all it holds and comes back as the next incarnation.
+  // Clears memory and order results, and starts the next incarnation.
   void Restart(TimePoint now);
 
   const FakeEngineSettings& settings() const { return settings_; }
   bool IsReady(const std::string& target) const;
   int running() const { return running_; }
-  // In memory now, loading ones included.
+  // Names of the targets in memory, those that are loading included.
   std::vector<std::string> Resident() const;
 
-  // ---- Truth ----
+  // ---- Ground truth for tests ----
+
   uint64_t memory_high_water() const { return memory_high_water_; }
   bool was_overcommitted() const { return was_overcommitted_; }
   uint64_t loads_begun() const { return loads_begun_; }
   uint64_t unloads_done() const { return unloads_done_; }
-  // Time replicas were held with no request running, summed over replicas.
+  // Time for which ready replicas ran no request, summed over replicas.
   Duration idle_time() const { return idle_time_; }
-  // The same, each replica weighed by its share of the engine's memory.
+  // As idle_time(), in seconds, weighted by the replica's share of the memory.
   double idle_engine_seconds() const { return idle_engine_seconds_; }
   Duration held_time() const { return held_time_; }
 
--- a/standins/fake_log.h
+++ b/standins/fake_log.h
@@ -9,20 +9,19 @@
 
 namespace applehall {
 
-// The platform's log service, without its failures: append-only streams with
-// offsets and limited retention.
+// The platform's log service without failures: append-only streams with
+// offsets and limited retention. Not thread-safe.
 class FakeLog {
  public:
   explicit FakeLog(Duration retention) : retention_(retention) {}
 
-  // Requires: nothing. Not thread-safe.
   LogOffset Append(const std::string& stream, const std::string& payload,
                    TimePoint now);
   LogBatch Read(const std::string& stream, LogOffset from, size_t most,
                 TimePoint now);
-  // Appends so far, for the truth.
+  // Number of appends so far.
   uint64_t append_count() const { return append_count_; }
-  // Tests shorten it to make records expire.
+  // For tests that make records expire.
   void SetRetention(Duration retention) { retention_ = retention; }
 
  private:
--- a/standins/fake_weight_store.h
+++ b/standins/fake_weight_store.h
@@ -9,23 +9,24 @@
 
 namespace applehall {
 
-// The weight store: so many loads a second, so many at once at full speed;
-// past that all of them share its bandwidth.
+// The weight store. It starts a limited number of fetches per second; a limited
+// number run at full speed, beyond which all share its bandwidth. Not
+// thread-safe.
 class FakeWeightStore {
  public:
   FakeWeightStore(double loads_per_second, int full_speed_slots,
                   double slot_bytes_per_second);
 
-  // Requires: nothing. Not thread-safe.
   void AddModel(const CatalogueEntry& entry) { catalogue_[entry.name] = entry; }
   const CatalogueEntry* Find(const std::string& name) const;
   Catalogue ListCatalogue() const;
-  // When a fetch that begins now will be done. Not thread-safe.
+  // Starts a fetch and returns the time at which it ends. Not thread-safe.
   TimePoint BeginFetch(uint64_t bytes, TimePoint now);
-  // Multiplies the time of fetches that begin from now on.
+  // Multiplies the duration of fetches that start from now on.
   void SetSlowness(double factor) { slowness_ = factor; }
 
-  // Truth.
+  // ---- Ground truth for tests ----
+
   uint64_t fetch_count() const { return fetch_count_; }
   Duration total_wait() const { return total_wait_; }
 
@@ -35,7 +36,7 @@
   double slot_bytes_per_second_;
   double slowness_ = 1.0;
   std::map<std::string, CatalogueEntry> catalogue_;
-  std::multimap<TimePoint, int> active_;  // By their end.
+  std::multimap<TimePoint, int> active_;  // Keyed by their end.
   TimePoint next_start_;
   uint64_t fetch_count_ = 0;
   Duration total_wait_{0};
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -9,19 +9,20 @@
 
 namespace applehall {
 
-// What is wrong with one stand-in at the moment. Set by POST /fault.
+// Faults injected into one stand-in. Set by POST /fault.
 struct Faults {
-  Duration slow{0};        // Each answer is this much later.
-  bool is_down = false;    // Answers nothing; connections are closed.
-  bool is_frozen = false;  // Takes requests and never answers them.
-  int lose_answers = 0;    // The next answers are lost after the effect.
+  Duration slow{0};        // Added before each request is handled.
+  bool is_down = false;    // Closes connections without an answer.
+  bool is_frozen = false;  // Accepts requests, answers after the fault.
+  int lose_answers = 0;    // The next requests take effect unanswered.
   int duplicate = 0;       // The next requests take effect twice.
   int break_streams = 0;   // The next streams break midway.
-  int reorder = 0;         // The next answers wait for the one after them.
-  std::set<std::string> cut_from;  // Data centres that cannot reach it.
+  int reorder = 0;         // The next answers are overtaken by later ones.
+  std::set<std::string> cut_from;  // Data centres whose requests fail.
 };
 
-// Faults by the stand-in's name ("log", "hosts", "store", an engine, ...).
+// Faults keyed by the stand-in's name ("log", "hosts", "store", an engine,
+// ...).
 using FaultTable = std::map<std::string, Faults>;
 
 }  // namespace applehall
--- a/standins/standin_server.cc
+++ b/standins/standin_server.cc
@@ -37,7 +37,7 @@
   return HttpResponse::JsonText(200, json.dump());
 }
 
-// JSON is put together outside of the coroutines: this compiler cannot build
+// JSON is built outside of the coroutines: this compiler cannot compile
 // initializer lists inside of them.
 HttpResponse CatalogueAnswer(const Catalogue& catalogue) {
   Json list = Json::array();
@@ -124,7 +124,7 @@
   std::string service;
   std::unique_ptr<HttpServer> server;
   Duration took;
-  std::map<std::string, int> runs;  // By idempotency key.
+  std::map<std::string, int> runs;  // Keyed by idempotency key.
   uint64_t calls = 0;
 };
 
@@ -243,7 +243,7 @@
     co_return;
   }
   if (faults.reorder > 0) {
-    // Held back long enough for the answers after it to overtake it.
+    // Long enough for the answers after this one to overtake it.
     --faults.reorder;
     co_await Sleep(io_, std::chrono::milliseconds(150));
   }
@@ -333,7 +333,7 @@
   HostList list = ListedHosts();
   const std::string near = request.QueryParameter("near");
   if (!near.empty()) {
-    // Of other data centres only the entry hosts and the services are shown.
+    // Engines of other data centres are left out.
     std::erase_if(list.hosts, [&near](const HostEntry& entry) {
       return entry.kind == HostKind::kEngine && entry.data_centre != near;
     });
@@ -352,8 +352,9 @@
   return answer;
 }
 
-// {"put": {entry}} adds or changes, {"leave": name} marks, {"remove": name}
-// takes away, {"restart": engine} gives an engine its next incarnation.
+// {"put": {entry}} adds or replaces an entry, {"leave": name} marks it as
+// leaving, {"remove": name} removes it, {"restart": engine} starts the engine's
+// next incarnation.
 asio::awaitable<void> StandinServer::ChangeHosts(HttpExchange& exchange) {
   const absl::StatusOr<Json> body = ParseJson(exchange.request().body);
   if (!body.ok() || !body->is_object()) {
@@ -384,7 +385,8 @@
   const std::string kind =
       body.ok() ? FieldOr<std::string>(*body, "kind", "") : "";
   if (target.empty() || kind.empty()) {
-    co_await exchange.Respond(Error(400, "expected target and kind"));
+    co_await exchange.Respond(
+        Error(400, "a fault needs \"target\" and \"kind\""));
     co_return;
   }
   Faults& faults = faults_[target];
--- a/standins/standin_server.h
+++ b/standins/standin_server.h
@@ -17,17 +17,16 @@
 
 namespace applehall {
 
-// The platform and the backend servers over HTTP, in one process and on one
-// thread: the fakes, wired to sockets, plus the failures of the brief.
-//
-// The platform listens on one address; each engine and service on its own.
+// Serves the fakes of the platform and the backend servers over HTTP, with
+// injected faults. The platform listens on one address, each engine and service
+// on its own. Thread of all methods: the one that runs `io`.
 class StandinServer {
  public:
   // Requires: `config` was checked by LoadStandinConfig().
   StandinServer(boost::asio::io_context& io, const Json& config);
   ~StandinServer();
 
-  // Addresses by name, "platform" among them, as a JSON object.
+  // Returns the addresses by name, "platform" included, as a JSON object.
   Json Addresses() const;
 
  private:
@@ -50,15 +49,15 @@
                      const std::string& model, const std::string& prompt,
                      int tokens, int resume_from);
 
-  // Waits, drops or closes as the faults of `name` say; false if the request
-  // must not be handled.
+  // Applies the faults of `name`: delays the request or closes its connection.
+  // Returns false if the request must not be handled.
   boost::asio::awaitable<bool> PassFaults(const std::string& name,
                                           HttpExchange& exchange);
-  // Sends, unless the answer is to be lost.
+  // Sends the response, unless a fault loses or delays it.
   Reply Answer(const std::string& name, HttpExchange& exchange,
                HttpResponse&& response);
   HostList ListedHosts();
-  // The list for one data centre; empty body if the caller has it already.
+  // Returns the host list for one data centre; status 304 if the client has it.
   HttpResponse HostsAnswer(const HttpRequest& request);
   TimePoint Now() const { return clock_.Now(); }
   Json TruthJson();
@@ -69,7 +68,7 @@
   FakeLog log_;
   FakeWeightStore store_;
   std::map<std::string, HostEntry> hosts_;
-  // What the host list shows lags: changes wait here until they are due.
+  // Versions of the host list, shown only after the configured lag.
   std::deque<std::pair<TimePoint, std::map<std::string, HostEntry>>> history_;
   Duration host_list_lag_;
   uint64_t dropped_history_ = 0;
@@ -78,7 +77,7 @@
   std::vector<std::unique_ptr<Service>> services_;
   std::unique_ptr<HttpServer> platform_;
   std::string ip_;
-  // Truth: most replicas of a model at once, by data centre.
+  // Highest number of simultaneous replicas by "DATA CENTRE/TARGET".
   std::map<std::string, int> most_replicas_;
 };
 
