--- a/soak/applehall_soak.cc
+++ b/soak/applehall_soak.cc
@@ -1,4 +1,4 @@
-// Runs entry hosts as real processes under faults that follow from a seed.
+// Runs entry hosts as real processes under faults that a seed determines.
 
 #include <CLI/CLI.hpp>
 #include <csignal>
@@ -13,18 +13,19 @@
   int seconds = 20;
   app.add_option("--daemon", options.daemon, "Path of applehall-edged")
       ->required();
-  app.add_option("--folder", options.folder, "For settings and logs")
+  app.add_option("--folder", options.folder, "Folder for settings and logs")
       ->required();
-  app.add_option("--seed", options.seed, "Decides faults and requests");
-  app.add_option("--seconds", seconds, "Length without warm-up")
+  app.add_option("--seed", options.seed, "Seed of faults and requests");
+  app.add_option("--seconds", seconds, "Length in seconds, without the warm-up")
       ->check(CLI::Range(5, 3600));
   app.add_option("--hosts", options.hosts, "Entry hosts")
       ->check(CLI::Range(1, 200));
-  app.add_option("--callers", options.callers_per_host, "For each host");
+  app.add_option("--callers", options.callers_per_host,
+                 "Callers for each host");
   app.add_flag("--poison", options.has_poison,
-               "Some requests end the servers that run them");
+               "Some requests crash the servers that execute them");
   app.add_flag("--limits", options.has_limits,
-               "Servers name limits of the requests that they take");
+               "Servers announce request rate limits");
   CLI11_PARSE(app, argc, argv);
   options.length = std::chrono::seconds(seconds);
   std::signal(SIGPIPE, SIG_IGN);
--- a/soak/fault_proxy.cc
+++ b/soak/fault_proxy.cc
@@ -69,7 +69,7 @@
         timer.expires_after(kLate);
         co_await timer.async_wait(kToken);
       }
-      // Held bytes go on when the fault ends, as after a partition.
+      // Stalled bytes are delivered when the fault ends, as after a partition.
       while (self->mode == Mode::kSilent ||
              (self->mode == Mode::kOneWay && !is_forward)) {
         timer.expires_after(kSilencePoll);
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -11,15 +11,15 @@
 
 namespace applehall {
 
-// A loopback relay of TCP connections that can be made to misbehave. Thread of
-// all methods: the one that runs `io`.
+// Relays TCP connections over loopback and injects link faults. Thread of all
+// methods: the one that runs `io`.
 class FaultProxy {
  public:
   enum class Mode : uint8_t {
     kPass,
-    kDelay,   // Each piece 150 ms late.
-    kOneWay,  // Nothing comes back.
-    kSilent,  // Nothing passes, either way; connections stay open.
+    kDelay,   // Delays each piece by 150 ms.
+    kOneWay,  // Stalls bytes from the target.
+    kSilent,  // Stalls both directions; connections stay open.
   };
 
   FaultProxy(boost::asio::io_context& io, Address target);
--- a/soak/host_processes.cc
+++ b/soak/host_processes.cc
@@ -18,8 +18,8 @@
 namespace applehall {
 namespace {
 
-// Below the ports that the kernel gives out by itself: those come and go with
-// every connection, and one given back here was taken by another host's page.
+// Below the kernel's ephemeral ports. A port from that range that had been
+// probed and released here was taken by another host's listener.
 constexpr uint16_t kFirstPort = 10000;
 constexpr uint16_t kPortsOfARange = 1000;
 constexpr uint64_t kRanges = 20;
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-// Seeds that run side by side follow each other, so they take different ranges;
-// by process ids, two took the same, and hosts could not start again.
+// Concurrent soaks use consecutive seeds and therefore different port ranges.
+// With ranges by process id, two soaks collided and hosts failed to restart.
 HostProcesses::HostProcesses(std::string daemon, std::string folder,
                              uint64_t seed)
     : daemon_(std::move(daemon)),
@@ -93,8 +93,8 @@
   posix_spawn_file_actions_addopen(&files, 1, log.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0644);
   posix_spawn_file_actions_adddup2(&files, 1, 2);
-  // The stand-ins' sockets must not live on in a host: a server that has ended
-  // would still be listening, as seen from outside.
+  // Hosts must not inherit the stand-ins' sockets: a stopped server would still
+  // accept connections.
   posix_spawn_file_actions_addclosefrom_np(&files, 3);
   char config[] = "--config";
   char* const arguments[] = {daemon_.data(), config, host.settings_path.data(),
--- a/soak/host_processes.h
+++ b/soak/host_processes.h
@@ -10,24 +10,24 @@
 
 namespace applehall {
 
-// The entry hosts of one soak, as processes of their own. Signals go only to
-// processes that were started here, by their ids. Not thread-safe.
+// Runs the entry hosts of one soak as child processes. Signals only processes
+// that it started, by their ids. Not thread-safe.
 class HostProcesses {
  public:
-  // Settings and logs go into `folder`.
+  // Writes settings and logs into `folder`.
   HostProcesses(std::string daemon, std::string folder, uint64_t seed);
-  // Kills what still runs.
+  // Kills the processes that still run.
   ~HostProcesses();
 
-  // Adds a host that talks to the store at `store`; it is not started yet.
+  // Adds a host that uses the store at `store`, without starting it.
   // Returns its index.
   int Add(const Address& store);
   void Start(int host);
   // Sends a signal if the host runs.
   void Signal(int host, int signal);
-  // Takes note of hosts that ended; true if `host` runs.
+  // Returns true if `host` runs; records its exit otherwise.
   bool IsRunning(int host);
-  // Hosts that ended without having been told to.
+  // Number of exits that no signal had requested.
   int own_ends() const { return own_ends_; }
   Address callers(int host) const { return hosts_[host].callers; }
   int count() const { return static_cast<int>(hosts_.size()); }
--- a/soak/platform_standin.cc
+++ b/soak/platform_standin.cc
@@ -24,7 +24,7 @@
 constexpr int kEvents = 12;
 constexpr Duration kEventGap = milliseconds(8);
 constexpr Duration kPoll = milliseconds(10);
-// A server that ended is off the list, and another one there, after this long.
+// Time until a crashed server is removed from the list and replaced.
 constexpr Duration kRestart = milliseconds(1500);
 constexpr Duration kSilence = std::chrono::seconds(60);
 
@@ -318,7 +318,8 @@
       response.status = 409;
   }
   if (server.engine->was_overcommitted()) {
-    violations_.push_back("MEMORY an engine was ordered more than it holds");
+    violations_.push_back(
+        "MEMORY an engine was ordered to load more than fits");
   }
 }
 
@@ -371,7 +372,8 @@
   } else {
     for (const char* name : {"x-hold", "x-pin-ms", "kv-from"}) {
       if (!request.Header(name).empty()) {
-        violations_.push_back(absl::StrCat("UNASKED a caller's ", name));
+        violations_.push_back(
+            absl::StrCat("UNASKED caller header was forwarded: ", name));
       }
     }
     runs_[attempt].push_back({id, clock_.Now()});
--- a/soak/platform_standin.h
+++ b/soak/platform_standin.h
@@ -16,75 +16,74 @@
 
 namespace applehall {
 
-// What a backend server did for one request.
+// One execution of a request by a backend server.
 struct ServedRun {
   std::string server;
   TimePoint at;
 };
 
-// Requests with this at the start of their body end the server that runs them;
-// the whole body tells one such content from the others.
+// Requests whose body starts with this crash the server that executes them. The
+// complete body identifies the poison message.
 inline constexpr char kPoisonBody[] = "poison";
 
-// A request as it reached a server.
+// Arrival of a request at a server.
 struct AttemptSeen {
   std::string attempt;
   TimePoint at;
 };
 
-// A limit that a server names from `since` on; nothing: none any more.
+// Request rate limit that a server announces from `since` on; nullopt: none.
 struct NamedLimit {
   TimePoint since;
   std::optional<double> per_second;
 };
 
-// The server that wrote an answer, for whoever checks it.
+// Response header with the server that answered, for the soak's checks.
 inline constexpr char kServerHeader[] = "x-soak-server";
 inline constexpr char kLimitHeader[] = "server-limit";
 
-// The users' platform as far as entry hosts see it: its store, model engines
-// and plain services, over HTTP on loopback. Thread of all methods: the one
-// that runs `io`.
+// Fake of the platform: its store, model engines and plain services, over HTTP
+// on loopback. Thread of all methods: the one that runs `io`.
 class PlatformStandin {
  public:
   enum class StoreMode : uint8_t { kUp, kRefusing, kSilent };
 
-  // Ids of servers bear `seed`: a server of a soak beside this one may get the
-  // port of one that ended here, and must not be taken for it.
+  // Server ids contain `seed`: a server of a concurrent soak may get the port
+  // of a stopped server of this one, and must not be mistaken for it.
   PlatformStandin(boost::asio::io_context& io, uint64_t seed);
 
   Address store_address() const;
   void SetStoreMode(StoreMode mode) { store_mode_ = mode; }
-  // Writes the newest configuration, with a route more for each in `extra`.
+  // Publishes a new configuration, with an additional route for each `extra`.
   void PutConfig(const std::vector<std::string>& extra);
-  // Starts a server with a new id; returns the id.
+  // Starts a server with a new id and returns the id.
   std::string StartEngine(const std::vector<std::string>& models);
   std::string StartApp();
-  // Lists it as leaving; it goes on serving until Stop().
+  // Lists the server as leaving; it serves until Stop().
   void Drain(const std::string& id);
-  // Ends it without a word, or takes it off the list.
+  // Stops the server at once; also removes it from the list if `is_delisted`.
   void Stop(const std::string& id, bool is_delisted);
-  // It names this limit in all its answers; nothing: none.
+  // Makes the server announce this limit in all its responses; nullopt: none.
   void NameLimit(const std::string& id, std::optional<double> per_second);
-  // Every so many-th stream breaks off in the middle; zero: none.
+  // Breaks off each `every`-th stream in the middle; zero: none.
   void SetBreakEvery(int every) { break_every_ = every; }
 
-  // By content, in the order of time.
+  // Runs of poison messages by body, in order of time.
   const std::map<std::string, std::vector<AttemptSeen>>& poison_runs() const {
     return poison_runs_;
   }
   const std::map<std::string, std::vector<ServedRun>>& runs() const {
     return runs_;
   }
-  // By server, the limits it named and the requests that reached it, run or
-  // not, in the order of time.
+  // Announced limits and arrived requests, executed or not, by server, in order
+  // of time.
   const std::map<std::string, std::vector<NamedLimit>>& limits() const {
     return limits_;
   }
   const std::map<std::string, std::vector<AttemptSeen>>& arrivals() const {
     return arrivals_;
   }
-  // When a server was listed as leaving or gone.
+  // Times at which servers were listed as leaving or removed.
   const std::map<std::string, TimePoint>& left_at() const { return left_at_; }
   const std::vector<std::string>& violations() const { return violations_; }
   std::vector<std::string> Servers(bool engines) const;
@@ -110,7 +109,7 @@
   void ReadNewest(const HttpRequest& request, HttpResponse& response) const;
   void Append(const HttpRequest& request, HttpResponse& response);
   Awaitable<void> ServeServer(std::string id, HttpExchange& exchange);
-  // Ends the server; another one starts at another address a moment later.
+  // Stops the server; later starts another one at another address.
   Awaitable<void> EndUnderPoison(std::string id, std::string attempt,
                                  std::string body);
   Awaitable<void> ServeStream(std::string id, HttpExchange& exchange);
@@ -123,7 +122,7 @@
                     const std::string& service);
 
   std::string NextId() const;
-  // Adds what all answers of the server `id` say.
+  // Adds the headers that all responses of the server `id` have.
   void Sign(const std::string& id, HttpHeaders& headers) const;
 
   boost::asio::io_context& io_;
--- a/soak/soak.cc
+++ b/soak/soak.cc
@@ -22,21 +22,25 @@
 constexpr Duration kCallTimeout = seconds(7);
 constexpr Duration kWarmUp = seconds(4);
 constexpr Duration kCoolDown = seconds(9);
-// A leaving server gets no new work after 2 s; the rest is the loaded machine.
+// A leaving server gets no new requests after 2 s; the remainder allows for a
+// loaded machine.
 constexpr Duration kDrainBound = milliseconds(3500);
-// Of the calm requests that must be served, or the soak proves nothing.
+// Minimum share of the requests without faults that must be served; below it
+// the soak proves nothing.
 constexpr double kLeastServed = 0.5;
 
-// The hosts have 3 s to agree on a request that ends servers; the rest is the
-// loaded machine.
+// The hosts have 3 s to quarantine a poison message at all hosts; the remainder
+// allows for a loaded machine.
 constexpr Duration kAgreed = milliseconds(4500);
 constexpr int kMostRepeats = 3;
 constexpr Duration kPoisonPause = milliseconds(300);
-// Without other faults, so that all hosts are held to it: two servers of a
-// kind end in 3 s, as they are back after 1.5 s, and the hosts agree in 4.5 s.
+// Time without other faults, so that the quarantine bound applies to all hosts:
+// two servers of a kind crash within 3 s, as a crashed one is replaced after
+// 1.5 s, and the hosts quarantine the message within 4.5 s.
 constexpr Duration kPoisonAlone = seconds(15);
-// A limited server may get half as much again in 4 s, and five more, from hosts
-// that had passed its word on half a second before; 3 s after its first word.
+// Within 4 s a limited server may receive 1.5 times its limit plus five
+// requests. Counts requests of hosts that forwarded a response with the limit
+// at least 0.5 s before; each limit applies 3 s after its announcement.
 constexpr Duration kLimitWindow = seconds(4);
 constexpr double kLimitFactor = 1.5;
 constexpr int kLimitSlack = 5;
@@ -102,10 +106,11 @@
     io_.restart();
   }
   std::vector<std::string> broken = platform_.violations();
-  if (callers_running_ > 0) broken.push_back("HANG a request has no answer");
+  if (callers_running_ > 0)
+    broken.push_back("HANG a request was never answered");
   if (hosts_.own_ends() > 0) {
     broken.push_back(absl::StrCat("CRASH ", hosts_.own_ends(),
-                                  " hosts ended by themselves"));
+                                  " hosts exited unexpectedly"));
   }
   CheckAnswers(broken);
   CheckRuns(broken);
@@ -158,7 +163,7 @@
 }
 
 asio::awaitable<void> Soak::PoisonCaller(std::string kind) {
-  // Its own, so that the faults of a seed are the same with and without it.
+  // A separate generator keeps the faults of a seed the same without poison.
   Random random(options_.seed + 1);
   co_await Sleep(io_, kWarmUp);
   for (int i = 0; clock_.Now() < ends_at_; ++i) {
@@ -188,7 +193,7 @@
 }
 
 asio::awaitable<void> Soak::Limits() {
-  // Its own, as with poison.
+  // A separate generator keeps the faults of a seed the same without limits.
   Random random(options_.seed + 2);
   co_await Sleep(io_, kWarmUp);
   while (clock_.Now() < ends_at_) {
@@ -273,8 +278,9 @@
           *limit * ToSeconds(kLimitWindow) * kLimitFactor + kLimitSlack;
       const size_t count = i - first + 1;
       if (static_cast<double>(count) <= allowed) continue;
-      broken.push_back(absl::StrCat("LIMIT ", server, " takes ", *limit,
-                                    " a second and got ", count, " in 4 s"));
+      broken.push_back(absl::StrCat("LIMIT ", server, " accepts ", *limit,
+                                    " requests a second and received ", count,
+                                    " in 4 s"));
       break;
     }
   }
@@ -289,9 +295,9 @@
           return run.at > agreed && is_calm_.at(run.attempt);
         });
     if (repeats > kMostRepeats) {
-      broken.push_back(absl::StrCat("REPEATED ", body, " ended ", runs.size(),
+      broken.push_back(absl::StrCat("REPEATED ", body, " crashed ", runs.size(),
                                     " servers, ", repeats,
-                                    " of them though it was known"));
+                                    " of them after the quarantine was due"));
     }
   }
 }
@@ -306,7 +312,7 @@
   if (options_.has_poison) co_await Sleep(io_, kPoisonAlone);
   while (clock_.Now() + seconds(8) < ends_at_) {
     co_await OneFault();
-    // Some come at once, others after things have settled.
+    // Some faults overlap, others start after the hosts have recovered.
     const bool overlaps = random_.Below(3) > 0;
     co_await Sleep(io_,
                    milliseconds(overlaps ? 300 + random_.Below(900) : 7000));
@@ -424,8 +430,8 @@
     const bool is_success = view.status / 100 == 2;
     const std::string whole =
         is_stream ? WholeStream(id) : absl::StrCat("answer to ", id);
-    // An answer cut on the way has a head and a part of the body; Fetch()
-    // reports it as not answered.
+    // Fetch() reports an answer that breaks off within the body as not
+    // answered.
     if (is_success && (view.body != whole || view.stamp != "stamp-" + id)) {
       broken.push_back(absl::StrCat("MIXED ", view.kind, " ", id, " got \"",
                                     view.body.substr(0, 60), "\""));
@@ -439,7 +445,7 @@
   }
   if (calm > 20 && served < kLeastServed * calm) {
     broken.push_back(absl::StrCat("SERVED ", served, " of ", calm,
-                                  " requests in calm times"));
+                                  " requests sent without faults"));
   }
 }
 
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -23,33 +23,33 @@
   Duration length = std::chrono::seconds(20);
   int hosts = 4;
   int callers_per_host = 4;
-  // Some requests end the servers that run them, and are repeated.
+  // Some requests crash the servers that execute them, and are repeated.
   bool has_poison = false;
-  // Some servers name limits, change them and take them back.
+  // Some servers announce request rate limits, change and withdraw them.
   bool has_limits = false;
 };
 
-// What callers got for one request.
+// A request and the response that its caller received.
 struct CallerView {
-  std::string kind;  // The route's name.
+  std::string kind;  // Name of the route.
   int host = 0;
   TimePoint sent_at;
-  int status = 0;  // Zero: no whole answer.
+  int status = 0;  // Zero: no complete answer.
   std::string body;
   std::string stamp;
 };
 
-// Entry hosts as real processes before a stand-in of the platform, callers, and
-// faults that follow from the seed alone: their order and times, not the
-// processes' scheduling. Checks the promises from what callers and backend
-// servers saw.
+// Runs entry hosts as real processes against a fake platform, with callers and
+// injected faults. The seed determines order and times of the faults, but not
+// the scheduling of the processes. Checks the guarantees from the observations
+// of callers and backend servers. Not thread-safe.
 class Soak {
  public:
   explicit Soak(SoakOptions options);
 
-  // Runs it all; the promises that were broken, one line each.
+  // Runs the soak; returns the violated guarantees, one line each.
   std::vector<std::string> Run();
-  // One line: requests, answers by status, faults.
+  // Returns one line with requests, answers by status and faults.
   std::string Summary() const;
 
  private:
@@ -57,28 +57,31 @@
   using Awaitable = boost::asio::awaitable<T>;
 
   Awaitable<void> Caller(int host, uint64_t seed);
-  // Repeats a request of `kind` that ends servers, at all hosts.
+  // Sends a poison message of `kind` repeatedly to all hosts.
   Awaitable<void> PoisonCaller(std::string kind);
-  // Has servers name limits and change them.
+  // Makes servers announce, change and withdraw limits.
   Awaitable<void> Limits();
   Awaitable<void> Faults();
   Awaitable<void> OneFault();
   Awaitable<void> Restart(int host, int signal);
   void Note(const std::string& fault);
-  // Faults stretch into the time after them: leases, reads, takeover.
+  // Effects of faults outlast them: leases expire, reads catch up, hosts take
+  // over.
   void Disturb() { disturbed_until_ = clock_.Now() + std::chrono::seconds(6); }
 
   void CheckAnswers(std::vector<std::string>& broken) const;
   void CheckRuns(std::vector<std::string>& broken) const;
   void CheckPoison(std::vector<std::string>& broken) const;
   void CheckLimits(std::vector<std::string>& broken) const;
-  // Requests to `server` by hosts that knew of its limit and were well.
+  // Arrivals at `server` from hosts that had received its limit and had no
+  // fault.
   std::vector<TimePoint> KnowingArrivals(const std::string& server) const;
-  // The highest limit that was in force in a span; nothing: once none was.
+  // Returns the highest limit in force in a time span; nullopt if no limit was
+  // in force at some moment of it.
   static std::optional<double> HighestLimit(
       const std::vector<NamedLimit>& named, TimePoint from, TimePoint to);
   void NoteLimit(int host, const HttpResponse& response);
-  // A restart, freeze or cut excuses its host, and the time after it.
+  // Exempts a host from the limit check during a fault and the recovery after.
   void Excuse(int host, Duration lasts);
   bool IsExcused(int host, TimePoint at) const;
 
@@ -95,10 +98,10 @@
   std::vector<std::string> faults_;
   TimePoint ends_at_;
   TimePoint disturbed_until_;
-  // Requests sent while nothing was wrong; those must be held to times too.
+  // True for requests sent without a fault; time bounds apply only to them.
   std::map<std::string, bool> is_calm_;
-  std::map<int, int> poison_answers_;  // By status; zero: none.
-  // By host and server: when an answer with the limit had passed.
+  std::map<int, int> poison_answers_;  // Keyed by status; zero: no answer.
+  // Time of the first response with a limit, by host and server.
   std::map<std::pair<int, std::string>, TimePoint> told_at_;
   std::map<int, std::vector<std::pair<TimePoint, TimePoint>>> excused_;
   int callers_running_ = 0;
