--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,19 +1,20 @@
 /*
- * A request that may not be repeated, sent to two hosts with one key.
+ * Models a non-idempotent request that reaches several hosts with one key.
  *
- * Each host appends a claim; the first on the log wins; a host runs the
- * request only after it read its own claim back as the winner. Append answers
- * are lost, appends are doubled, a host gives up ("not run") at any moment
- * before it runs. Hosts start late or pause while the log forgets records.
+ * Each host appends a claim; the first claim on the log wins. A host executes
+ * the request only after it has read its own claim back as the winner. Append
+ * answers are lost, appends are duplicated, and a host may refuse the request
+ * ("not run") at any moment before it executes it. Hosts start late or pause
+ * while records expire.
  *
- * A guard is removed with -DNO_<GUARD>; the model must then fail.
- *   READ_BACK     run only after the own claim was read back as the winner
- *   FIRST_WINS    the fold gives the key to the first claim
+ * -DNO_<GUARD> removes a guard; the model must then fail.
+ *   READ_BACK     execute only after the own claim was read back as the winner
+ *   FIRST_WINS    the fold assigns the key to the first claim
  *   UNIQUE_ID     claim ids of two hosts differ
- *   TOO_OLD       a key older than what the log keeps is refused
- *   GIVE_BACK_NR  a claim is given back as not run only if nothing was sent
- *   GAP           a host that the log outran judges no key from before
- *   ENDED_VOID    a claim that was given back is void when it comes again
+ *   TOO_OLD       a key older than the log's retention is refused
+ *   GIVE_BACK_NR  a claim is released as not run only if nothing was sent
+ *   GAP           a host that missed expired records decides no earlier key
+ *   ENDED_VOID    a duplicate of a released claim is ignored
  */
 #define NONE 255
 #define HOSTS 3
@@ -25,14 +26,14 @@
 byte kind[MAXLOG];
 byte id[MAXLOG];
 byte log_len = 0;
-byte first = 0;               /* oldest record kept */
-bool key_is_old = false;      /* age of the key past the retention */
+byte first = 0;               /* oldest retained record */
+bool key_is_old = false;      /* the key is older than the retention */
 
 byte runs = 0;
 byte told_not_run[HOSTS];
 byte ran_by[HOSTS];
 
-/* Id of host h's claim. */
+/* Claim id of host h. */
 #ifndef NO_UNIQUE_ID
 #define CLAIM_ID(h) (h)
 #else
@@ -49,7 +50,7 @@
     }
 }
 
-/* Folds what came since the last time; holder is who has the key. */
+/* Folds the new records; holder is the winning claim of the key. */
 inline fold()
 {
     atomic {
@@ -91,7 +92,7 @@
             n++
         :: else -> break
         od;
-        /* A key given back as not run may be tried again. */
+        /* A released claim never holds the key, so callers may retry it. */
         assert(holder == NONE || !(ended & (1 << holder)))
     }
 }
@@ -104,7 +105,7 @@
     bool gap = false;
     bool gave_up = false;
 
-    /* A host that starts late sees only what the log keeps. */
+    /* A host that starts late reads only the retained records. */
     atomic {
         n = first;
         if
@@ -125,12 +126,13 @@
     append(CLAIM, CLAIM_ID(me));
 #ifndef NO_READ_BACK
     if
-    /* The answer was lost: written again. One host that does so shows all. */
+    /* The append's answer was lost, so it is repeated. It suffices that one
+     * host does so. */
     :: me == 0 -> append(CLAIM, CLAIM_ID(me))
     :: true -> skip
     fi;
     if
-    :: true -> gave_up = true                /* the deadline passed */
+    :: true -> gave_up = true                /* deadline exceeded */
     :: true -> skip
     fi;
     if
@@ -138,7 +140,7 @@
         append(END, CLAIM_ID(me));
         told_not_run[me] = 1;
         if
-        :: me == 0 -> append(CLAIM, CLAIM_ID(me))   /* a late copy */
+        :: me == 0 -> append(CLAIM, CLAIM_ID(me))   /* a delayed duplicate */
         :: true -> skip
         fi;
         goto done
@@ -150,10 +152,10 @@
     :: else -> skip
     fi;
 #endif
-    /* Send it. */
+    /* Sends the request. */
     atomic { runs++; ran_by[me] = 1 };
     assert(runs <= 1);
-    /* The service's answer comes, or is lost: nobody knows then. */
+    /* If the service's answer is lost, the outcome is unknown. */
 #ifdef NO_GIVE_BACK_NR
     if
     :: true -> append(END, CLAIM_ID(me)); told_not_run[me] = 1
@@ -164,8 +166,7 @@
     assert(!(told_not_run[me] && ran_by[me]))
 }
 
-/* Time passes: the log forgets its oldest records, and with them the key is
- * older than what is kept. */
+/* Expires the oldest records; the key is then older than the retention, too. */
 proctype Retention()
 {
     if
--- a/spec/ownership.pml
+++ b/spec/ownership.pml
@@ -1,22 +1,22 @@
 /*
- * Who may order an engine.
+ * Models the ownership of an engine: at most one host may send it orders.
  *
  * Two hosts claim the ownership of one engine on the log; the record's offset
- * is the fencing token. The engine has room for one model; two loads that
- * both take effect overcommit it. Hosts may be paused between deciding and
- * sending, and wake believing what they believed. Append answers are lost;
- * orders are late and doubled.
+ * is the fencing token. The engine has memory for one model; two loads that
+ * both take effect overcommit it. Hosts may be paused between decision and
+ * sending, and resume with their old state. Append answers are lost; orders
+ * are delayed and duplicated.
  *
- * FENCED=1: the engine checks tokens. FENCED=0: it obeys everybody, and a new
- * owner waits for the former one's release.
+ * FENCED=1: the engine checks tokens. FENCED=0: it executes all orders, and a
+ * new owner waits for the former owner's release.
  *
- * A guard is removed with -DNO_<GUARD>; the model must then fail.
- *   FENCE_CHECK    engine refuses tokens below the highest seen
- *   RAISE_FIRST    new owner raises the fence before it takes the inventory
+ * -DNO_<GUARD> removes a guard; the model must then fail.
+ *   FENCE_CHECK    the engine refuses tokens below the highest seen
+ *   RAISE_FIRST    a new owner raises the fence before it reads the inventory
  *   RESERVE_FIRST  memory is reserved before the order is sent
  *   KEEP_UNKNOWN   an order whose answer is lost counts as loaded
  *   AWAIT_RELEASE  on an unfenced engine, wait for the former owner's release
- *   RELEASE_QUIET  release only when no order is under way
+ *   RELEASE_QUIET  release only when no order is in flight
  */
 #ifndef FENCED
 #define FENCED 1
@@ -27,28 +27,28 @@
 #define NOBODY 255
 #define MAXLOG 4
 
-/* ---- the log: offsets 1..MAXLOG, fold kept alongside ---- */
+/* ---- the log: offsets 1..MAXLOG, and its folded state ---- */
 byte log_len = 0;
-byte owner = NOBODY;         /* of the fold */
+byte owner = NOBODY;         /* by the fold */
 byte token = 0;
-bool released = true;        /* former owner has released (or there is none) */
+bool released = true;        /* the former owner released it, or there is none */
 byte former = NOBODY;
 
 /* ---- the engine ---- */
 byte highest = 0;
 bool resident[MODELS];
 byte resident_count = 0;
-bool seen_order[6];          /* order ids taken: host * 3 + n */
+bool seen_order[6];          /* executed order ids: host * 3 + n */
 
-/* ---- orders on the wire: order, token, model; doubled by not consuming ---- */
+/* ---- orders in flight: order, token, model; duplicated by not consuming ---- */
 chan wire = [3] of { byte, byte, byte };
 
-/* ---- promises ---- */
+/* ---- invariants ---- */
 #define overcommitted (resident_count > 1)
 
 inline append_claim(who, previous, won)
 {
-    /* One atomic step: the log orders appends, the fold judges them. */
+    /* One atomic step: the log orders appends, the fold evaluates them. */
     atomic {
         won = 0;
         if
@@ -77,7 +77,7 @@
         :: t < highest -> skip           /* stale: refused */
 #endif
 #endif
-        :: seen_order[o] -> skip         /* doubled: changes nothing */
+        :: seen_order[o] -> skip         /* duplicate: no effect */
         :: else ->
             seen_order[o] = true;
             if
@@ -93,22 +93,22 @@
     }
 }
 
-/* The wire delivers late, in any order, and sometimes twice. */
+/* Delivers orders late, in any order, and sometimes twice. */
 proctype Wire()
 {
     byte o, t, m;
 end:
     do
     :: atomic { wire ?? o, t, m -> deliver(o, t, m) }
-    :: atomic { wire ?? <o, t, m> -> deliver(o, t, m) }     /* and once more */
+    :: atomic { wire ?? <o, t, m> -> deliver(o, t, m) }     /* duplicate */
     od
 }
 
 proctype Host(byte me)
 {
-    byte mine = 0;       /* the token I believe in */
-    byte known;          /* the token I last read */
-    bool reserved;       /* my ledger: memory is spoken for */
+    byte mine = 0;       /* the token this host assumes to own */
+    byte known;          /* the token read last */
+    bool reserved;       /* by this host's ledger, the memory is in use */
     byte under_way = 0;
     byte orders = 0;
     byte model;
@@ -117,17 +117,18 @@
 
     do
     :: mine == 0 && log_len < MAXLOG ->
-        /* Lease lapsed, or nobody owns it: read, then claim. The pause may
-         * fall between the two, so another claim may come first. */
+        /* The lease expired or there is no owner: read, then claim. Another
+         * claim may precede this one if the host pauses in between. */
         known = token;
         append_claim(me, known, mine);
-        /* The append's answer may be lost; reading back finds the same. */
+        /* If the append's answer is lost, reading back gives the same result. */
         if
         :: mine != 0 ->
             reserved = false;
 #if FENCED
 #ifndef NO_RAISE_FIRST
-            /* Inspect under the new token: older orders are void from now. */
+            /* Inspect with the new token: the engine refuses older orders from
+             * now on. */
             atomic {
                 if
                 :: mine > highest -> highest = mine
@@ -139,7 +140,7 @@
             inventory = resident_count;
 #endif
 #else
-            /* The engine obeys everybody: wait for the former owner. */
+            /* The engine executes all orders: wait for the former owner. */
 #ifndef NO_AWAIT_RELEASE
             do
             :: released || token != mine -> break
@@ -155,8 +156,8 @@
         fi
 
     :: mine != 0 && !reserved && orders < 2 ->
-        /* Decide a load. A pause between here and the sending is covered by
-         * the interleaving: anything may happen before the next step. */
+        /* Decide on a load. The interleaving covers a pause before the order
+         * is sent. */
         if
         :: model = 0
         :: model = 1
@@ -169,20 +170,20 @@
             orders++;
             sent++
         }
-        /* The answer comes, or is lost, or never comes. */
+        /* The answer arrives or is lost. */
         if
         :: skip                          /* lost: the reservation stays */
 #ifdef NO_KEEP_UNKNOWN
-           ; reserved = false            /* wrong: takes silence for failure */
+           ; reserved = false            /* wrong: a lost answer counts as failure */
 #endif
         :: skip
         fi
 
     :: mine != 0 && token != mine ->
-        /* Read the log: another host owns it now. Stop. */
+        /* The log shows another owner: stop sending orders. */
 #if !FENCED
 #ifndef NO_RELEASE_QUIET
-        /* Release only when my orders can no longer arrive. */
+        /* Release only when no own order can arrive any more. */
         do
         :: atomic { len(wire) == 0 -> break }
         od;
@@ -197,7 +198,7 @@
         mine = 0;
         break
 
-    :: mine != 0 && token == mine && me == 0 -> break   /* dies holding it */
+    :: mine != 0 && token == mine && me == 0 -> break   /* crashes as the owner */
     :: mine == 0 && log_len >= MAXLOG -> break
     od
 }
--- a/spec/rules.pml
+++ b/spec/rules.pml
@@ -1,20 +1,20 @@
 /*
- * Which rule set is in force.
+ * Models how hosts determine the rule set in force.
  *
- * Operators publish on the log, each on the version it read; a paused one
- * publishes on an old version, and one whose answer was lost publishes twice.
- * A carrier writes the state again before it expires; it may pause between
- * reading and writing. A host reads from wherever the log still begins, and is
- * told snapshots by peers that may lag.
+ * Operators publish rule sets on the log, each based on the version it read; a
+ * paused operator publishes on an old version, and one whose answer was lost
+ * publishes twice. A carrier appends a snapshot before the records expire; it
+ * may pause between reading and writing. A host reads from the oldest retained
+ * record, and receives snapshots from peers that may lag.
  *
- * The truth is the fold of the whole log. The host must agree with it at every
- * position at which it claims to know, and never go back.
+ * The reference is the fold of the complete log. A host with a base must agree
+ * with it at each position, and its version never decreases.
  *
- * A guard is removed with -DNO_<GUARD>; the model must then fail.
- *   CAS         a set whose base is not the current version is void
- *   KEEP_ASIDE  without a base, records are kept aside and not judged
- *   AS_OF       a snapshot counts only if it covers all that was missed
- *   NEVER_BACK  a snapshot older than what is in force is ignored
+ * -DNO_<GUARD> removes a guard; the model must then fail.
+ *   CAS         a set whose base is not the current version is ignored
+ *   KEEP_ASIDE  without a base, records are buffered and not evaluated
+ *   AS_OF       a snapshot is used only if it covers all missed records
+ *   NEVER_BACK  a snapshot older than the state in force is ignored
  */
 #define MAXLOG 6
 #define PUB 1
@@ -37,8 +37,8 @@
 #endif
 
 byte kind[MAXLOG];
-byte base[MAXLOG];       /* PUB: its base. SNAP: the version carried. */
-byte as_of[MAXLOG];      /* SNAP: how far its writer had read. */
+byte base[MAXLOG];       /* PUB: its base. SNAP: its version. */
+byte as_of[MAXLOG];      /* SNAP: number of records that it covers. */
 byte log_len = 0;
 byte first = 0;
 byte truth = 0;          /* version in force; versions are position + 1 */
@@ -57,7 +57,7 @@
             :: k == PUB && b == truth ->
 #else
             :: k == PUB ->
-                /* Nobody's change may be undone unseen. */
+                /* No update may be lost to a concurrent one. */
                 assert(b == truth);
 #endif
                 truth = log_len + 1
@@ -76,7 +76,7 @@
     seen = truth;
     append(PUB, seen, 0);
     if
-    :: true -> append(PUB, seen, 0)      /* the answer was lost */
+    :: true -> append(PUB, seen, 0)      /* the answer was lost: retried */
     :: true -> skip
     fi
 }
@@ -107,7 +107,7 @@
     bool based;
     byte before;
 
-    /* A peer's state, taken at some moment and told at a later one. */
+    /* A peer's state, read now and received later. */
     atomic { peer_version = truth; peer_upto = log_len };
 
     atomic {
@@ -117,7 +117,7 @@
     };
     do
     :: atomic {
-        pos < log_len && pos < first ->      /* outrun by the retention */
+        pos < log_len && pos < first ->      /* unread records expired */
             pos = first;
             start = first;
 #ifndef NO_KEEP_ASIDE
@@ -137,7 +137,7 @@
             :: !based && kind[pos] == SNAP && COVERS(as_of[pos]) ->
                 version = base[pos];
                 based = true;
-                /* Judge what was kept aside. */
+                /* Evaluate the buffered records. */
                 i = as_of[pos];
                 do
                 :: i < pos ->
@@ -156,14 +156,14 @@
             assert(!based || version == truth_at[pos])
        }
     :: atomic {
-        /* A peer tells its state; it is ahead, or covers what is missing. */
+        /* Apply a peer's state that is ahead or covers the missed records. */
         peer_version > 0 && PEER_HELPS ->
             before = version;
             version = peer_version;
             if
             :: peer_upto > pos -> pos = peer_upto
             :: else ->
-                /* What was kept aside since; nothing, with a base. */
+                /* Evaluate records buffered since; none if there is a base. */
                 i = (based -> pos : peer_upto);
                 do
                 :: i < pos ->
