--- a/soak/soak.cc
+++ b/soak/soak.cc
@@ -106,8 +106,7 @@
     io_.restart();
   }
   std::vector<std::string> broken = platform_.violations();
-  if (callers_running_ > 0)
-    broken.push_back("HANG a request was never answered");
+  if (callers_running_ > 0) broken.push_back("HANG a request has no answer");
   if (hosts_.own_ends() > 0) {
     broken.push_back(absl::StrCat("CRASH ", hosts_.own_ends(),
                                   " hosts exited unexpectedly"));
@@ -278,7 +277,7 @@
           *limit * ToSeconds(kLimitWindow) * kLimitFactor + kLimitSlack;
       const size_t count = i - first + 1;
       if (static_cast<double>(count) <= allowed) continue;
-      broken.push_back(absl::StrCat("LIMIT ", server, " accepts ", *limit,
+      broken.push_back(absl::StrCat("LIMIT ", server, " takes ", *limit,
                                     " requests a second and received ", count,
                                     " in 4 s"));
       break;
@@ -295,7 +294,7 @@
           return run.at > agreed && is_calm_.at(run.attempt);
         });
     if (repeats > kMostRepeats) {
-      broken.push_back(absl::StrCat("REPEATED ", body, " crashed ", runs.size(),
+      broken.push_back(absl::StrCat("REPEATED ", body, " ended ", runs.size(),
                                     " servers, ", repeats,
                                     " of them after the quarantine was due"));
     }
--- a/spec/ownership.pml
+++ b/spec/ownership.pml
@@ -31,7 +31,7 @@
 byte log_len = 0;
 byte owner = NOBODY;         /* by the fold */
 byte token = 0;
-bool released = true;        /* the former owner released it, or there is none */
+bool released = true;        /* by the former owner, if there is one */
 byte former = NOBODY;
 
 /* ---- the engine ---- */
@@ -40,7 +40,7 @@
 byte resident_count = 0;
 bool seen_order[6];          /* executed order ids: host * 3 + n */
 
-/* ---- orders in flight: order, token, model; duplicated by not consuming ---- */
+/* ---- orders in flight: order, token, model ---- */
 chan wire = [3] of { byte, byte, byte };
 
 /* ---- invariants ---- */
@@ -121,7 +121,7 @@
          * claim may precede this one if the host pauses in between. */
         known = token;
         append_claim(me, known, mine);
-        /* If the append's answer is lost, reading back gives the same result. */
+        /* If the append's answer is lost, reading back gives the same. */
         if
         :: mine != 0 ->
             reserved = false;
@@ -174,7 +174,7 @@
         if
         :: skip                          /* lost: the reservation stays */
 #ifdef NO_KEEP_UNKNOWN
-           ; reserved = false            /* wrong: a lost answer counts as failure */
+           ; reserved = false            /* wrong: lost counts as failed */
 #endif
         :: skip
         fi
@@ -198,7 +198,7 @@
         mine = 0;
         break
 
-    :: mine != 0 && token == mine && me == 0 -> break   /* crashes as the owner */
+    :: mine != 0 && token == mine && me == 0 -> break   /* the owner crashes */
     :: mine == 0 && log_len >= MAXLOG -> break
     od
 }
--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -832,15 +832,12 @@
   return total;
 }
 
-// ---- Invariants ----
-
 // Rule set versions never decrease at a host.
 void Deployment::CheckVersion(const Host& host) {
   const auto rules = host.node->context().control.rules().current();
   if (!rules) return;
   LogOffset& seen = versions_seen_[absl::StrCat(host.name, "@", host.life)];
-  if (rules->version < seen)
-    Break("rule set version decreased on host " + host.name);
+  if (rules->version < seen) Break("rule set reverted on " + host.name);
   seen = std::max(seen, rules->version);
   if (rules->version <= truth_version_) return;
   truth_version_ = rules->version;
@@ -850,8 +847,7 @@
 void Deployment::CheckEngines() {
   std::map<std::string, int> replicas;
   for (const auto& [name, engine] : engines_) {
-    if (engine->was_overcommitted())
-      Break("engine memory overcommitted: " + name);
+    if (engine->was_overcommitted()) Break("overcommitted: " + name);
     for (const std::string& model : engine->Resident()) {
       ++replicas[absl::StrCat(engine->settings().data_centre, "/", model)];
     }
@@ -871,8 +867,7 @@
   }
 }
 
-// Each request has an outcome soon after its deadline. Requests of a paused
-// host are due after it resumes.
+// Requests need an outcome in time; a paused host's are due once it resumes.
 void Deployment::CheckOpenRequests() {
   std::map<uint64_t, const Host*> holders;
   for (const auto& [name, host] : hosts_) {
@@ -888,9 +883,7 @@
       owed_at = std::max(owed_at, holder->second->resumed_at);
     }
     if (owed_at + kOutcomeGrace < now_) {
-      Break(
-          absl::StrCat("request ", id,
-                       " has no outcome within its deadline and grace period"));
+      Break(absl::StrCat("request ", id, " has no outcome in time"));
     }
   }
 }
