--- a/soak/fault_proxy.cc
+++ b/soak/fault_proxy.cc
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr Duration kLate = std::chrono::milliseconds(150);
-constexpr Duration kSilencePoll = std::chrono::milliseconds(50);
+constexpr Duration kPieceDelay = std::chrono::milliseconds(150);
+constexpr Duration kStallPoll = std::chrono::milliseconds(50);
 constexpr auto kToken = asio::as_tuple(asio::use_awaitable);
 
-struct Pair {
-  explicit Pair(asio::io_context& io) : near(io), far(io) {}
+struct RelayedConnection {
+  explicit RelayedConnection(asio::io_context& io) : near(io), far(io) {}
   tcp::socket near;
   tcp::socket far;
 };
@@ -34,31 +34,33 @@
     while (acceptor.is_open()) {
       auto [error, socket] = co_await acceptor.async_accept(kToken);
       if (error) co_return;
-      const auto pair = std::make_shared<Pair>(io);
-      pair->near = std::move(socket);
-      pairs.insert(pair);
-      asio::co_spawn(io, Connect(self, pair), asio::detached);
+      const auto connection = std::make_shared<RelayedConnection>(io);
+      connection->near = std::move(socket);
+      connections.insert(connection);
+      asio::co_spawn(io, Connect(self, connection), asio::detached);
     }
   }
 
-  static asio::awaitable<void> Connect(std::shared_ptr<State> self,
-                                       std::shared_ptr<Pair> pair) {
+  static asio::awaitable<void> Connect(
+      std::shared_ptr<State> self,
+      std::shared_ptr<RelayedConnection> connection) {
     const tcp::endpoint endpoint(asio::ip::make_address(self->target.ip),
                                  self->target.port);
-    const auto [error] = co_await pair->far.async_connect(endpoint, kToken);
+    const auto [error] =
+        co_await connection->far.async_connect(endpoint, kToken);
     if (error) {
-      self->Close(pair);
+      self->Close(connection);
       co_return;
     }
-    asio::co_spawn(self->io, Relay(self, pair, true), asio::detached);
-    asio::co_spawn(self->io, Relay(self, pair, false), asio::detached);
+    asio::co_spawn(self->io, Relay(self, connection, true), asio::detached);
+    asio::co_spawn(self->io, Relay(self, connection, false), asio::detached);
   }
 
-  static asio::awaitable<void> Relay(std::shared_ptr<State> self,
-                                     std::shared_ptr<Pair> pair,
-                                     bool is_forward) {
-    tcp::socket& from = is_forward ? pair->near : pair->far;
-    tcp::socket& to = is_forward ? pair->far : pair->near;
+  static asio::awaitable<void> Relay(
+      std::shared_ptr<State> self,
+      std::shared_ptr<RelayedConnection> connection, bool is_forward) {
+    tcp::socket& from = is_forward ? connection->near : connection->far;
+    tcp::socket& to = is_forward ? connection->far : connection->near;
     std::array<char, 16384> bytes{};
     while (true) {
       const auto [error, size] =
@@ -66,13 +68,13 @@
       if (error) break;
       asio::steady_timer timer(self->io);
       if (self->mode == Mode::kDelay) {
-        timer.expires_after(kLate);
+        timer.expires_after(kPieceDelay);
         co_await timer.async_wait(kToken);
       }
       // Stalled bytes are delivered when the fault ends, as after a partition.
-      while (self->mode == Mode::kSilent ||
+      while (self->mode == Mode::kStalled ||
              (self->mode == Mode::kOneWay && !is_forward)) {
-        timer.expires_after(kSilencePoll);
+        timer.expires_after(kStallPoll);
         co_await timer.async_wait(kToken);
         if (!from.is_open()) co_return;
       }
@@ -80,21 +82,21 @@
           co_await asio::async_write(to, asio::buffer(bytes, size), kToken);
       if (failed) break;
     }
-    self->Close(pair);
+    self->Close(connection);
   }
 
-  void Close(const std::shared_ptr<Pair>& pair) {
+  void Close(const std::shared_ptr<RelayedConnection>& connection) {
     boost::system::error_code ignored;
-    pair->near.close(ignored);
-    pair->far.close(ignored);
-    pairs.erase(pair);
+    connection->near.close(ignored);
+    connection->far.close(ignored);
+    connections.erase(connection);
   }
 
   asio::io_context& io;
   Address target;
   tcp::acceptor acceptor;
   Mode mode = Mode::kPass;
-  std::set<std::shared_ptr<Pair>> pairs;
+  std::set<std::shared_ptr<RelayedConnection>> connections;
 };
 
 FaultProxy::FaultProxy(asio::io_context& io, Address target)
@@ -114,11 +116,11 @@
 void FaultProxy::SetMode(Mode mode) { state_->mode = mode; }
 
 void FaultProxy::ResetAll() {
-  const auto pairs = state_->pairs;
-  for (const auto& pair : pairs) {
+  const auto connections = state_->connections;
+  for (const auto& connection : connections) {
     boost::system::error_code ignored;
-    pair->near.set_option(asio::socket_base::linger(true, 0), ignored);
-    state_->Close(pair);
+    connection->near.set_option(asio::socket_base::linger(true, 0), ignored);
+    state_->Close(connection);
   }
 }
 
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -17,9 +17,9 @@
  public:
   enum class Mode : uint8_t {
     kPass,
-    kDelay,   // Delays each piece by 150 ms.
-    kOneWay,  // Stalls bytes from the target.
-    kSilent,  // Stalls both directions; connections stay open.
+    kDelay,    // Delays each piece by 150 ms.
+    kOneWay,   // Stalls bytes from the target.
+    kStalled,  // Stalls both directions; connections stay open.
   };
 
   FaultProxy(boost::asio::io_context& io, Address target);
--- a/soak/host_processes.cc
+++ b/soak/host_processes.cc
@@ -21,7 +21,7 @@
 // Below the kernel's ephemeral ports. A port from that range that had been
 // probed and released here was taken by another host's listener.
 constexpr uint16_t kFirstPort = 10000;
-constexpr uint16_t kPortsOfARange = 1000;
+constexpr uint16_t kPortsPerRange = 1000;
 constexpr uint64_t kRanges = 20;
 
 bool IsFree(uint16_t port) {
@@ -36,7 +36,7 @@
   return is_free;
 }
 
-uint16_t TakeFreePort(uint16_t& next) {
+uint16_t AllocatePort(uint16_t& next) {
   while (!IsFree(next)) ++next;
   return next++;
 }
@@ -52,7 +52,7 @@
     : daemon_(std::move(daemon)),
       folder_(std::move(folder)),
       next_port_(static_cast<uint16_t>(kFirstPort +
-                                       seed % kRanges * kPortsOfARange)) {}
+                                       seed % kRanges * kPortsPerRange)) {}
 
 HostProcesses::~HostProcesses() {
   for (Host& host : hosts_) {
@@ -66,15 +66,15 @@
   Host host;
   host.name = absl::StrCat("edge-", hosts_.size());
   host.settings_path = absl::StrCat(folder_, "/", host.name, ".json");
-  host.callers = {"127.0.0.1", TakeFreePort(next_port_)};
+  host.caller_address = {"127.0.0.1", AllocatePort(next_port_)};
   const Json settings{{"host", host.name},
                       {"data_centre", "hall"},
                       {"ip", "127.0.0.1"},
-                      {"callers", host.callers.ToString()},
-                      {"readiness", Local(TakeFreePort(next_port_))},
+                      {"callers", host.caller_address.ToString()},
+                      {"readiness", Local(AllocatePort(next_port_))},
                       {"store", store.ToString()},
-                      {"operators", Local(TakeFreePort(next_port_))},
-                      {"peers", Local(TakeFreePort(next_port_))},
+                      {"operators", Local(AllocatePort(next_port_))},
+                      {"peers", Local(AllocatePort(next_port_))},
                       {"shared_key", "soak-soak-soak-soak"},
                       {"cpu_share", 0.25},
                       {"grace_period_ms", 4000},
@@ -104,13 +104,13 @@
     host.process = 0;
   }
   posix_spawn_file_actions_destroy(&files);
-  host.is_told_to_end = false;
+  host.is_stop_requested = false;
 }
 
 void HostProcesses::Signal(int index, int signal) {
   Host& host = hosts_[index];
   if (!IsRunning(index)) return;
-  if (signal == SIGKILL || signal == SIGTERM) host.is_told_to_end = true;
+  if (signal == SIGKILL || signal == SIGTERM) host.is_stop_requested = true;
   ::kill(host.process, signal);
 }
 
@@ -118,7 +118,7 @@
   Host& host = hosts_[index];
   if (host.process == 0) return false;
   if (::waitpid(host.process, nullptr, WNOHANG) == 0) return true;
-  if (!host.is_told_to_end) ++own_ends_;
+  if (!host.is_stop_requested) ++unexpected_exits_;
   host.process = 0;
   return false;
 }
--- a/soak/host_processes.h
+++ b/soak/host_processes.h
@@ -28,24 +28,24 @@
   // Returns true if `host` runs; records its exit otherwise.
   bool IsRunning(int host);
   // Number of exits that no signal had requested.
-  int own_ends() const { return own_ends_; }
-  Address callers(int host) const { return hosts_[host].callers; }
+  int unexpected_exits() const { return unexpected_exits_; }
+  Address caller_address(int host) const { return hosts_[host].caller_address; }
   int count() const { return static_cast<int>(hosts_.size()); }
 
  private:
   struct Host {
     std::string name;
     std::string settings_path;
-    Address callers;
+    Address caller_address;
     pid_t process = 0;
-    bool is_told_to_end = false;
+    bool is_stop_requested = false;
   };
 
   std::string daemon_;
   std::string folder_;
   std::vector<Host> hosts_;
   uint16_t next_port_;
-  int own_ends_ = 0;
+  int unexpected_exits_ = 0;
 };
 
 }  // namespace applehall
--- a/soak/platform_standin.cc
+++ b/soak/platform_standin.cc
@@ -25,8 +25,8 @@
 constexpr Duration kEventGap = milliseconds(8);
 constexpr Duration kPoll = milliseconds(10);
 // Time until a crashed server is removed from the list and replaced.
-constexpr Duration kRestart = milliseconds(1500);
-constexpr Duration kSilence = std::chrono::seconds(60);
+constexpr Duration kReplaceDelay = milliseconds(1500);
+constexpr Duration kUnresponsiveTime = std::chrono::seconds(60);
 
 std::string BigEndian(uint64_t value, int bytes) {
   std::string text;
@@ -51,7 +51,7 @@
   return route;
 }
 
-HttpResponse Stamped(const std::string& attempt, std::string body) {
+HttpResponse StampedResponse(const std::string& attempt, std::string body) {
   HttpResponse response;
   response.headers["x-attempt-id"] = attempt;
   response.headers["x-server-stamp"] = "stamp-" + attempt;
@@ -59,7 +59,7 @@
   return response;
 }
 
-HttpResponse TurnedAway(const std::string& attempt, int status) {
+HttpResponse NotExecutedResponse(const std::string& attempt, int status) {
   HttpResponse response;
   response.status = status;
   response.headers["x-attempt-id"] = attempt;
@@ -83,8 +83,9 @@
 
 // ---- The store ----
 
-void PlatformStandin::Put(const std::string& topic, const std::string& key,
-                          const std::string& value) {
+void PlatformStandin::AppendRecord(const std::string& topic,
+                                   const std::string& key,
+                                   const std::string& value) {
   topics_[topic].push_back({key, value});
 }
 
@@ -112,13 +113,13 @@
                     {"models", models}};
   config["services"] = Json::array(
       {Json{{"name", "app"}}, Json{{"name", "llm"}, {"engine", engine}}});
-  Put("keyed.op", "config", config.dump());
+  AppendRecord("keyed.op", "config", config.dump());
 }
 
 asio::awaitable<void> PlatformStandin::ServeStore(HttpExchange& exchange) {
   const HttpRequest& request = exchange.request();
-  if (store_mode_ == StoreMode::kSilent) {
-    co_await Sleep(io_, kSilence);
+  if (store_mode_ == StoreMode::kUnresponsive) {
+    co_await Sleep(io_, kUnresponsiveTime);
     exchange.Abort();
     co_return;
   }
@@ -126,17 +127,17 @@
   if (store_mode_ == StoreMode::kRefusing) {
     response.status = 503;
   } else if (request.Path() == "/v1/log-read") {
-    co_await ReadNews(exchange);
+    co_await HandleLogRead(exchange);
     co_return;
   } else if (request.Path() == "/v1/log-newest") {
-    ReadNewest(request, response);
+    HandleNewestRead(request, response);
   } else {
-    Append(request, response);
+    HandleAppend(request, response);
   }
   co_await exchange.Respond(std::move(response));
 }
 
-asio::awaitable<void> PlatformStandin::ReadNews(HttpExchange& exchange) {
+asio::awaitable<void> PlatformStandin::HandleLogRead(HttpExchange& exchange) {
   const std::string topic = exchange.request().QueryParameter("topic");
   uint64_t from = 0;
   int64_t wait_ms = 0;
@@ -159,8 +160,8 @@
   co_await exchange.Respond(std::move(response));
 }
 
-void PlatformStandin::ReadNewest(const HttpRequest& request,
-                                 HttpResponse& response) const {
+void PlatformStandin::HandleNewestRead(const HttpRequest& request,
+                                       HttpResponse& response) const {
   const auto topic = topics_.find(request.QueryParameter("topic"));
   if (topic == topics_.end()) {
     response.status = 404;
@@ -182,8 +183,8 @@
   response = HttpResponse::JsonText(200, page.dump());
 }
 
-void PlatformStandin::Append(const HttpRequest& request,
-                             HttpResponse& response) {
+void PlatformStandin::HandleAppend(const HttpRequest& request,
+                                   HttpResponse& response) {
   std::vector<Record>& records = topics_[request.QueryParameter("topic")];
   uint64_t at = 0;
   const bool is_conditional =
@@ -223,7 +224,7 @@
       HttpServerLimits{});
   servers_[id] = server;
   ++started_;
-  List(id);
+  PublishEntry(id);
   return id;
 }
 
@@ -241,14 +242,14 @@
 
 std::string PlatformStandin::StartApp() { return Start(nullptr, "app"); }
 
-void PlatformStandin::List(const std::string& id) {
+void PlatformStandin::PublishEntry(const std::string& id) {
   Server& server = *servers_.at(id);
   Json entry{{"service", server.service},
              {"address", absl::StrCat(kLoopback, ":", server.http->port())},
              {"zone", "hall"},
              {"capacity", 16},
              {"state", server.is_leaving ? "draining" : "ready"},
-             {"seq", ++server.beat}};
+             {"seq", ++server.entry_sequence}};
   if (server.engine) {
     entry["models"] = Json::array();
     entry["at_hand"] = Json{{"on_disk", Json::array()}};
@@ -260,13 +261,13 @@
       entry["at_hand"]["on_disk"].push_back(model);
     }
   }
-  Put("keyed.servers", id, entry.dump());
+  AppendRecord("keyed.servers", id, entry.dump());
 }
 
 void PlatformStandin::Drain(const std::string& id) {
   servers_.at(id)->is_leaving = true;
-  left_at_[id] = clock_.Now();
-  List(id);
+  withdrawn_at_[id] = clock_.Now();
+  PublishEntry(id);
 }
 
 void PlatformStandin::Stop(const std::string& id, bool is_delisted) {
@@ -274,8 +275,8 @@
   server.is_stopped = true;
   server.http->StopAccepting();
   if (!is_delisted) return;
-  if (!left_at_.contains(id)) left_at_[id] = clock_.Now();
-  Put("keyed.servers", id, "");
+  if (!withdrawn_at_.contains(id)) withdrawn_at_[id] = clock_.Now();
+  AppendRecord("keyed.servers", id, "");
 }
 
 std::vector<std::string> PlatformStandin::Servers(bool engines) const {
@@ -323,16 +324,18 @@
   }
 }
 
-void PlatformStandin::NameLimit(const std::string& id,
-                                std::optional<double> per_second) {
+void PlatformStandin::AnnounceLimit(const std::string& id,
+                                    std::optional<double> per_second) {
   limits_[id].push_back({clock_.Now(), per_second});
 }
 
-void PlatformStandin::Sign(const std::string& id, HttpHeaders& headers) const {
+void PlatformStandin::AddServerHeaders(const std::string& id,
+                                       HttpHeaders& headers) const {
   headers[kServerHeader] = id;
-  const auto named = limits_.find(id);
-  if (named == limits_.end() || !named->second.back().per_second) return;
-  headers[kLimitHeader] = absl::StrCat(*named->second.back().per_second);
+  const auto announced = limits_.find(id);
+  if (announced == limits_.end() || !announced->second.back().per_second)
+    return;
+  headers[kLimitHeader] = absl::StrCat(*announced->second.back().per_second);
 }
 
 asio::awaitable<void> PlatformStandin::ServeServer(std::string id,
@@ -349,7 +352,7 @@
   if (!attempt.empty()) arrivals_[id].push_back({attempt, clock_.Now()});
   HttpResponse response;
   if (!expected.empty() && expected != id) {
-    response = TurnedAway(attempt, 421);
+    response = NotExecutedResponse(attempt, 421);
   } else if (request.Path() == "/v1/report" && server->engine) {
     const Inventory inventory = server->engine->Report();
     Json report{{"models", Json::array()},
@@ -363,10 +366,10 @@
     TakeOrder(*server, request, response);
   } else if (server->engine &&
              !server->engine->Holds(request.Header("x-model"))) {
-    response = TurnedAway(attempt, 421);
+    response = NotExecutedResponse(attempt, 421);
   } else if (request.body.starts_with(kPoisonBody)) {
     exchange.Abort();
-    asio::co_spawn(io_, EndUnderPoison(id, attempt, request.body),
+    asio::co_spawn(io_, CrashOnPoison(id, attempt, request.body),
                    asio::detached);
     co_return;
   } else {
@@ -382,19 +385,19 @@
       co_return;
     }
     co_await Sleep(io_, milliseconds(5));
-    response = Stamped(attempt, absl::StrCat("answer to ", attempt));
+    response = StampedResponse(attempt, absl::StrCat("answer to ", attempt));
   }
-  Sign(id, response.headers);
+  AddServerHeaders(id, response.headers);
   co_await exchange.Respond(std::move(response));
 }
 
-asio::awaitable<void> PlatformStandin::EndUnderPoison(std::string id,
-                                                      std::string attempt,
-                                                      std::string body) {
+asio::awaitable<void> PlatformStandin::CrashOnPoison(std::string id,
+                                                     std::string attempt,
+                                                     std::string body) {
   poison_runs_[body].push_back({attempt, clock_.Now()});
   const bool is_engine = servers_.at(id)->engine != nullptr;
   Stop(id, /*is_delisted=*/false);
-  co_await Sleep(io_, kRestart);
+  co_await Sleep(io_, kReplaceDelay);
   Stop(id, /*is_delisted=*/true);
   if (is_engine) {
     StartEngine({});
@@ -409,9 +412,9 @@
   const std::string attempt = exchange.request().Header("x-attempt-id");
   int from = 0;
   (void)absl::SimpleAtoi(exchange.request().Header("last-event-id"), &from);
-  HttpResponse head = Stamped(attempt, "");
+  HttpResponse head = StampedResponse(attempt, "");
   head.headers["content-type"] = "text/event-stream";
-  Sign(id, head.headers);
+  AddServerHeaders(id, head.headers);
   const bool breaks = break_every_ > 0 && ++streams_ % break_every_ == 0;
   bool is_ok = co_await exchange.BeginStream(200, head.headers);
   for (int event = from + 1; event <= kEvents && is_ok; ++event) {
--- a/soak/platform_standin.h
+++ b/soak/platform_standin.h
@@ -27,13 +27,13 @@
 inline constexpr char kPoisonBody[] = "poison";
 
 // Arrival of a request at a server.
-struct AttemptSeen {
+struct AttemptArrival {
   std::string attempt;
   TimePoint at;
 };
 
 // Request rate limit that a server announces from `since` on; nullopt: none.
-struct NamedLimit {
+struct AnnouncedLimit {
   TimePoint since;
   std::optional<double> per_second;
 };
@@ -46,7 +46,7 @@
 // on loopback. Thread of all methods: the one that runs `io`.
 class PlatformStandin {
  public:
-  enum class StoreMode : uint8_t { kUp, kRefusing, kSilent };
+  enum class StoreMode : uint8_t { kUp, kRefusing, kUnresponsive };
 
   // Server ids contain `seed`: a server of a concurrent soak may get the port
   // of a stopped server of this one, and must not be mistaken for it.
@@ -64,12 +64,13 @@
   // Stops the server at once; also removes it from the list if `is_delisted`.
   void Stop(const std::string& id, bool is_delisted);
   // Makes the server announce this limit in all its responses; nullopt: none.
-  void NameLimit(const std::string& id, std::optional<double> per_second);
+  void AnnounceLimit(const std::string& id, std::optional<double> per_second);
   // Breaks off each `every`-th stream in the middle; zero: none.
   void SetBreakEvery(int every) { break_every_ = every; }
 
   // Runs of poison messages by body, in order of time.
-  const std::map<std::string, std::vector<AttemptSeen>>& poison_runs() const {
+  const std::map<std::string, std::vector<AttemptArrival>>& poison_runs()
+      const {
     return poison_runs_;
   }
   const std::map<std::string, std::vector<ServedRun>>& runs() const {
@@ -77,14 +78,16 @@
   }
   // Announced limits and arrived requests, executed or not, by server, in order
   // of time.
-  const std::map<std::string, std::vector<NamedLimit>>& limits() const {
+  const std::map<std::string, std::vector<AnnouncedLimit>>& limits() const {
     return limits_;
   }
-  const std::map<std::string, std::vector<AttemptSeen>>& arrivals() const {
+  const std::map<std::string, std::vector<AttemptArrival>>& arrivals() const {
     return arrivals_;
   }
   // Times at which servers were listed as leaving or removed.
-  const std::map<std::string, TimePoint>& left_at() const { return left_at_; }
+  const std::map<std::string, TimePoint>& withdrawn_at() const {
+    return withdrawn_at_;
+  }
   const std::vector<std::string>& violations() const { return violations_; }
   std::vector<std::string> Servers(bool engines) const;
 
@@ -99,31 +102,32 @@
     std::string service;
     bool is_leaving = false;
     bool is_stopped = false;
-    uint64_t beat = 0;
+    uint64_t entry_sequence = 0;
   };
   template <typename T>
   using Awaitable = boost::asio::awaitable<T>;
 
   Awaitable<void> ServeStore(HttpExchange& exchange);
-  Awaitable<void> ReadNews(HttpExchange& exchange);
-  void ReadNewest(const HttpRequest& request, HttpResponse& response) const;
-  void Append(const HttpRequest& request, HttpResponse& response);
+  Awaitable<void> HandleLogRead(HttpExchange& exchange);
+  void HandleNewestRead(const HttpRequest& request,
+                        HttpResponse& response) const;
+  void HandleAppend(const HttpRequest& request, HttpResponse& response);
   Awaitable<void> ServeServer(std::string id, HttpExchange& exchange);
   // Stops the server; later starts another one at another address.
-  Awaitable<void> EndUnderPoison(std::string id, std::string attempt,
-                                 std::string body);
+  Awaitable<void> CrashOnPoison(std::string id, std::string attempt,
+                                std::string body);
   Awaitable<void> ServeStream(std::string id, HttpExchange& exchange);
   void TakeOrder(Server& server, const HttpRequest& request,
                  HttpResponse& response);
-  void Put(const std::string& topic, const std::string& key,
-           const std::string& value);
-  void List(const std::string& id);
+  void AppendRecord(const std::string& topic, const std::string& key,
+                    const std::string& value);
+  void PublishEntry(const std::string& id);
   std::string Start(std::unique_ptr<FakeCountedEngine> engine,
                     const std::string& service);
 
   std::string NextId() const;
   // Adds the headers that all responses of the server `id` have.
-  void Sign(const std::string& id, HttpHeaders& headers) const;
+  void AddServerHeaders(const std::string& id, HttpHeaders& headers) const;
 
   boost::asio::io_context& io_;
   uint64_t seed_;
@@ -133,10 +137,10 @@
   std::map<std::string, std::vector<Record>> topics_;
   std::map<std::string, std::shared_ptr<Server>> servers_;
   std::map<std::string, std::vector<ServedRun>> runs_;
-  std::map<std::string, std::vector<AttemptSeen>> poison_runs_;
-  std::map<std::string, std::vector<NamedLimit>> limits_;
-  std::map<std::string, std::vector<AttemptSeen>> arrivals_;
-  std::map<std::string, TimePoint> left_at_;
+  std::map<std::string, std::vector<AttemptArrival>> poison_runs_;
+  std::map<std::string, std::vector<AnnouncedLimit>> limits_;
+  std::map<std::string, std::vector<AttemptArrival>> arrivals_;
+  std::map<std::string, TimePoint> withdrawn_at_;
   std::vector<std::string> violations_;
   uint64_t config_version_ = 0;
   int started_ = 0;
--- a/soak/soak.cc
+++ b/soak/soak.cc
@@ -27,28 +27,28 @@
 constexpr Duration kDrainBound = milliseconds(3500);
 // Minimum share of the requests without faults that must be served; below it
 // the soak proves nothing.
-constexpr double kLeastServed = 0.5;
+constexpr double kMinServedShare = 0.5;
 
 // The hosts have 3 s to quarantine a poison message at all hosts; the remainder
 // allows for a loaded machine.
-constexpr Duration kAgreed = milliseconds(4500);
-constexpr int kMostRepeats = 3;
+constexpr Duration kQuarantineBound = milliseconds(4500);
+constexpr int kMaxRepeats = 3;
 constexpr Duration kPoisonPause = milliseconds(300);
 // Time without other faults, so that the quarantine bound applies to all hosts:
 // two servers of a kind crash within 3 s, as a crashed one is replaced after
 // 1.5 s, and the hosts quarantine the message within 4.5 s.
-constexpr Duration kPoisonAlone = seconds(15);
+constexpr Duration kPoisonOnlyTime = seconds(15);
 // Within 4 s a limited server may receive 1.5 times its limit plus five
 // requests. Counts requests of hosts that forwarded a response with the limit
 // at least 0.5 s before; each limit applies 3 s after its announcement.
 constexpr Duration kLimitWindow = seconds(4);
 constexpr double kLimitFactor = 1.5;
 constexpr int kLimitSlack = 5;
-constexpr Duration kLearning = seconds(3);
-constexpr Duration kTold = milliseconds(500);
+constexpr Duration kLimitPropagation = seconds(3);
+constexpr Duration kLimitGrace = milliseconds(500);
 constexpr const char* kPoisonKinds[] = {"once", "again", "stream", "rare"};
 
-bool IsPromiseOfNotRun(int status) {
+bool MeansNotExecuted(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
@@ -90,16 +90,16 @@
     hosts_.Start(host);
     for (int i = 0; i < options_.callers_per_host; ++i) {
       ++callers_running_;
-      asio::co_spawn(io_, Caller(host, random_.Next()), asio::detached);
+      asio::co_spawn(io_, RunCaller(host, random_.Next()), asio::detached);
     }
   }
-  asio::co_spawn(io_, Faults(), asio::detached);
+  asio::co_spawn(io_, RunFaults(), asio::detached);
   for (const char* kind : kPoisonKinds) {
     if (!options_.has_poison) break;
     ++callers_running_;
-    asio::co_spawn(io_, PoisonCaller(kind), asio::detached);
+    asio::co_spawn(io_, RunPoisonCaller(kind), asio::detached);
   }
-  if (options_.has_limits) asio::co_spawn(io_, Limits(), asio::detached);
+  if (options_.has_limits) asio::co_spawn(io_, RunLimits(), asio::detached);
   const TimePoint last = ends_at_ + kCoolDown;
   while (callers_running_ > 0 && clock_.Now() < last) {
     io_.run_for(milliseconds(50));
@@ -107,8 +107,8 @@
   }
   std::vector<std::string> broken = platform_.violations();
   if (callers_running_ > 0) broken.push_back("HANG a request has no answer");
-  if (hosts_.own_ends() > 0) {
-    broken.push_back(absl::StrCat("CRASH ", hosts_.own_ends(),
+  if (hosts_.unexpected_exits() > 0) {
+    broken.push_back(absl::StrCat("CRASH ", hosts_.unexpected_exits(),
                                   " hosts exited unexpectedly"));
   }
   CheckAnswers(broken);
@@ -118,12 +118,12 @@
   return broken;
 }
 
-asio::awaitable<void> Soak::Caller(int host, uint64_t seed) {
+asio::awaitable<void> Soak::RunCaller(int host, uint64_t seed) {
   Random random(seed);
   co_await Sleep(io_, kWarmUp);
   while (clock_.Now() < ends_at_) {
     const std::string id = absl::StrCat("a", seed, "-", random.Next());
-    CallerView& view = asked_[id];
+    RequestRecord& view = sent_requests_[id];
     const uint64_t drawn = random.Below(10);
     view.kind = drawn < 3 ? "once" : drawn < 6 ? "again" : "stream";
     if (drawn == 9) view.kind = "rare";
@@ -131,7 +131,7 @@
     view.sent_at = clock_.Now();
     is_calm_[id] = view.sent_at > disturbed_until_;
     HttpCall call;
-    call.address = hosts_.callers(host);
+    call.address = hosts_.caller_address(host);
     call.request.method = "POST";
     call.request.target = absl::StrCat("/", view.kind, "/x");
     call.request.headers["host"] = "soak.example";
@@ -151,7 +151,7 @@
     if (result.state == SendState::kAnswered) {
       view.status = result.response.status;
       view.body = result.response.body;
-      NoteLimit(host, result.response);
+      RecordLimit(host, result.response);
       const auto stamp = result.response.headers.find("x-server-stamp");
       if (stamp != result.response.headers.end()) view.stamp = stamp->second;
     }
@@ -161,7 +161,7 @@
   --callers_running_;
 }
 
-asio::awaitable<void> Soak::PoisonCaller(std::string kind) {
+asio::awaitable<void> Soak::RunPoisonCaller(std::string kind) {
   // A separate generator keeps the faults of a seed the same without poison.
   Random random(options_.seed + 1);
   co_await Sleep(io_, kWarmUp);
@@ -169,7 +169,7 @@
     const std::string id = absl::StrCat("poison-", kind, "-", i);
     is_calm_[id] = clock_.Now() > disturbed_until_;
     HttpCall call;
-    call.address = hosts_.callers(
+    call.address = hosts_.caller_address(
         static_cast<int>(random.Below(static_cast<uint64_t>(hosts_.count()))));
     call.request.method = "POST";
     call.request.target = absl::StrCat("/", kind, "/x");
@@ -191,7 +191,7 @@
   --callers_running_;
 }
 
-asio::awaitable<void> Soak::Limits() {
+asio::awaitable<void> Soak::RunLimits() {
   // A separate generator keeps the faults of a seed the same without limits.
   Random random(options_.seed + 2);
   co_await Sleep(io_, kWarmUp);
@@ -203,7 +203,7 @@
       std::optional<double> limit = 0.3 + 6 * random.Unit();
       if (random.Below(4) == 0) limit.reset();
       if (random.Below(8) == 0) limit = 0;
-      platform_.NameLimit(id, limit);
+      platform_.AnnounceLimit(id, limit);
       faults_.push_back(limit ? absl::StrCat("limit ", id, " ", *limit)
                               : absl::StrCat("no limit ", id));
     }
@@ -211,18 +211,18 @@
   }
 }
 
-void Soak::NoteLimit(int host, const HttpResponse& response) {
+void Soak::RecordLimit(int host, const HttpResponse& response) {
   const auto server = response.headers.find(kServerHeader);
   if (server == response.headers.end() ||
       !response.headers.contains(kLimitHeader)) {
     return;
   }
-  told_at_.try_emplace({host, server->second}, clock_.Now());
+  limit_received_at_.try_emplace({host, server->second}, clock_.Now());
 }
 
 void Soak::Excuse(int host, Duration lasts) {
   const TimePoint now = clock_.Now();
-  excused_[host].push_back({now, now + lasts + kLearning});
+  excused_[host].push_back({now, now + lasts + kLimitPropagation});
 }
 
 bool Soak::IsExcused(int host, TimePoint at) const {
@@ -233,45 +233,49 @@
       [at](const auto& span) { return at >= span.first && at < span.second; });
 }
 
-std::vector<TimePoint> Soak::KnowingArrivals(const std::string& server) const {
+std::vector<TimePoint> Soak::ArrivalsWithKnownLimit(
+    const std::string& server) const {
   std::vector<TimePoint> times;
   const auto arrivals = platform_.arrivals().find(server);
   if (arrivals == platform_.arrivals().end()) return times;
-  for (const AttemptSeen& arrival : arrivals->second) {
-    const auto asked = asked_.find(arrival.attempt);
-    if (asked == asked_.end()) continue;
-    const int host = asked->second.host;
-    const auto told = told_at_.find({host, server});
-    const bool is_told =
-        told != told_at_.end() && arrival.at >= told->second + kTold;
-    if (is_told && !IsExcused(host, arrival.at)) times.push_back(arrival.at);
+  for (const AttemptArrival& arrival : arrivals->second) {
+    const auto sent = sent_requests_.find(arrival.attempt);
+    if (sent == sent_requests_.end()) continue;
+    const int host = sent->second.host;
+    const auto received = limit_received_at_.find({host, server});
+    const bool knows_limit = received != limit_received_at_.end() &&
+                             arrival.at >= received->second + kLimitGrace;
+    if (knows_limit && !IsExcused(host, arrival.at))
+      times.push_back(arrival.at);
   }
   return times;
 }
 
-std::optional<double> Soak::HighestLimit(const std::vector<NamedLimit>& named,
-                                         TimePoint from, TimePoint to) {
+std::optional<double> Soak::HighestLimit(
+    const std::vector<AnnouncedLimit>& announced, TimePoint from,
+    TimePoint to) {
   double highest = 0;
   bool has_begun = false;
-  for (size_t i = 0; i < named.size(); ++i) {
-    const bool is_over = i + 1 < named.size() && named[i + 1].since <= from;
-    if (is_over || named[i].since > to) continue;
-    if (!named[i].per_second) return std::nullopt;
-    has_begun = has_begun || named[i].since <= from;
-    highest = std::max(highest, *named[i].per_second);
+  for (size_t i = 0; i < announced.size(); ++i) {
+    const bool is_over =
+        i + 1 < announced.size() && announced[i + 1].since <= from;
+    if (is_over || announced[i].since > to) continue;
+    if (!announced[i].per_second) return std::nullopt;
+    has_begun = has_begun || announced[i].since <= from;
+    highest = std::max(highest, *announced[i].per_second);
   }
   if (!has_begun) return std::nullopt;
   return highest;
 }
 
 void Soak::CheckLimits(std::vector<std::string>& broken) const {
-  for (const auto& [server, named] : platform_.limits()) {
-    const std::vector<TimePoint> arrivals = KnowingArrivals(server);
+  for (const auto& [server, announced] : platform_.limits()) {
+    const std::vector<TimePoint> arrivals = ArrivalsWithKnownLimit(server);
     size_t first = 0;
     for (size_t i = 0; i < arrivals.size(); ++i) {
       while (arrivals[i] - arrivals[first] > kLimitWindow) ++first;
-      const std::optional<double> limit =
-          HighestLimit(named, arrivals[first] - kLearning, arrivals[i]);
+      const std::optional<double> limit = HighestLimit(
+          announced, arrivals[first] - kLimitPropagation, arrivals[i]);
       if (!limit) continue;
       const double allowed =
           *limit * ToSeconds(kLimitWindow) * kLimitFactor + kLimitSlack;
@@ -288,12 +292,12 @@
 void Soak::CheckPoison(std::vector<std::string>& broken) const {
   for (const auto& [body, runs] : platform_.poison_runs()) {
     if (runs.size() < 3) continue;
-    const TimePoint agreed = runs[2].at + kAgreed;
+    const TimePoint quarantined_at = runs[2].at + kQuarantineBound;
     const auto repeats =
-        std::count_if(runs.begin(), runs.end(), [&](const AttemptSeen& run) {
-          return run.at > agreed && is_calm_.at(run.attempt);
+        std::count_if(runs.begin(), runs.end(), [&](const AttemptArrival& run) {
+          return run.at > quarantined_at && is_calm_.at(run.attempt);
         });
-    if (repeats > kMostRepeats) {
+    if (repeats > kMaxRepeats) {
       broken.push_back(absl::StrCat("REPEATED ", body, " ended ", runs.size(),
                                     " servers, ", repeats,
                                     " of them after the quarantine was due"));
@@ -301,16 +305,16 @@
   }
 }
 
-void Soak::Note(const std::string& fault) {
+void Soak::RecordFault(const std::string& fault) {
   faults_.push_back(fault);
-  Disturb();
+  MarkDisturbed();
 }
 
-asio::awaitable<void> Soak::Faults() {
+asio::awaitable<void> Soak::RunFaults() {
   co_await Sleep(io_, kWarmUp + seconds(1));
-  if (options_.has_poison) co_await Sleep(io_, kPoisonAlone);
+  if (options_.has_poison) co_await Sleep(io_, kPoisonOnlyTime);
   while (clock_.Now() + seconds(8) < ends_at_) {
-    co_await OneFault();
+    co_await InjectFault();
     // Some faults overlap, others start after the hosts have recovered.
     const bool overlaps = random_.Below(3) > 0;
     co_await Sleep(io_,
@@ -318,7 +322,7 @@
   }
 }
 
-asio::awaitable<void> Soak::Restart(int host, int signal) {
+asio::awaitable<void> Soak::RestartHost(int host, int signal) {
   Excuse(host, seconds(6));
   hosts_.Signal(host, signal);
   for (int i = 0; i < 500 && hosts_.IsRunning(host); ++i) {
@@ -327,24 +331,24 @@
   if (hosts_.IsRunning(host)) hosts_.Signal(host, SIGKILL);
   co_await Sleep(io_, milliseconds(100 + random_.Below(500)));
   hosts_.Start(host);
-  Disturb();
+  MarkDisturbed();
 }
 
-asio::awaitable<void> Soak::OneFault() {
+asio::awaitable<void> Soak::InjectFault() {
   const int host = static_cast<int>(random_.Below(hosts_.count()));
   FaultProxy& proxy = *store_proxies_[host];
   const Duration span = milliseconds(500 + random_.Below(3000));
   switch (random_.Below(11)) {
     case 0:
-      Note(absl::StrCat("kill ", host));
-      co_await Restart(host, SIGKILL);
+      RecordFault(absl::StrCat("kill ", host));
+      co_await RestartHost(host, SIGKILL);
       break;
     case 1:
-      Note(absl::StrCat("term ", host));
-      co_await Restart(host, SIGTERM);
+      RecordFault(absl::StrCat("term ", host));
+      co_await RestartHost(host, SIGTERM);
       break;
     case 2:
-      Note(absl::StrCat("freeze ", host));
+      RecordFault(absl::StrCat("freeze ", host));
       Excuse(host, span);
       hosts_.Signal(host, SIGSTOP);
       co_await Sleep(io_, span);
@@ -352,7 +356,8 @@
       break;
     case 3: {
       const auto mode = static_cast<FaultProxy::Mode>(1 + random_.Below(3));
-      Note(absl::StrCat("store link ", host, " mode ", static_cast<int>(mode)));
+      RecordFault(
+          absl::StrCat("store link ", host, " mode ", static_cast<int>(mode)));
       Excuse(host, span);
       proxy.SetMode(mode);
       co_await Sleep(io_, span);
@@ -360,14 +365,15 @@
       break;
     }
     case 4:
-      Note(absl::StrCat("store link ", host, " reset"));
+      RecordFault(absl::StrCat("store link ", host, " reset"));
       proxy.ResetAll();
       break;
     case 5: {
       const bool is_silent = random_.Below(2) == 0;
-      Note(is_silent ? "store silent" : "store refuses");
-      platform_.SetStoreMode(is_silent ? PlatformStandin::StoreMode::kSilent
-                                       : PlatformStandin::StoreMode::kRefusing);
+      RecordFault(is_silent ? "store silent" : "store refuses");
+      platform_.SetStoreMode(is_silent
+                                 ? PlatformStandin::StoreMode::kUnresponsive
+                                 : PlatformStandin::StoreMode::kRefusing);
       co_await Sleep(io_, span);
       platform_.SetStoreMode(PlatformStandin::StoreMode::kUp);
       break;
@@ -377,7 +383,7 @@
       const auto servers = platform_.Servers(is_engine);
       if (servers.size() < 2) break;
       const std::string& id = servers[random_.Below(servers.size())];
-      Note(absl::StrCat("drain ", id));
+      RecordFault(absl::StrCat("drain ", id));
       if (is_engine) {
         platform_.StartEngine({absl::StrCat("m", random_.Below(kModels))});
       } else {
@@ -390,7 +396,7 @@
       const auto servers = platform_.Servers(true);
       if (servers.size() < 2) break;
       const std::string& id = servers[random_.Below(servers.size())];
-      Note(absl::StrCat("crash ", id));
+      RecordFault(absl::StrCat("crash ", id));
       platform_.Stop(id, /*is_delisted=*/false);
       co_await Sleep(io_, seconds(1));
       platform_.Stop(id, /*is_delisted=*/true);
@@ -403,13 +409,13 @@
       platform_.PutConfig(added_routes_);
       break;
     case 9:
-      Note("streams break");
+      RecordFault("streams break");
       platform_.SetBreakEvery(4);
       co_await Sleep(io_, span);
       platform_.SetBreakEvery(0);
       break;
     default:
-      Note("kill all");
+      RecordFault("kill all");
       for (int i = 0; i < hosts_.count(); ++i) {
         Excuse(i, seconds(1));
         hosts_.Signal(i, SIGKILL);
@@ -418,13 +424,13 @@
       for (int i = 0; i < hosts_.count(); ++i) hosts_.Start(i);
       break;
   }
-  Disturb();
+  MarkDisturbed();
 }
 
 void Soak::CheckAnswers(std::vector<std::string>& broken) const {
   int calm = 0;
   int served = 0;
-  for (const auto& [id, view] : asked_) {
+  for (const auto& [id, view] : sent_requests_) {
     const bool is_stream = view.kind == "stream" || view.kind == "rare";
     const bool is_success = view.status / 100 == 2;
     const std::string whole =
@@ -442,7 +448,7 @@
     ++calm;
     served += is_success ? 1 : 0;
   }
-  if (calm > 20 && served < kLeastServed * calm) {
+  if (calm > 20 && served < kMinServedShare * calm) {
     broken.push_back(absl::StrCat("SERVED ", served, " of ", calm,
                                   " requests sent without faults"));
   }
@@ -450,23 +456,23 @@
 
 void Soak::CheckRuns(std::vector<std::string>& broken) const {
   for (const auto& [id, runs] : platform_.runs()) {
-    const auto asked = asked_.find(id);
-    if (asked == asked_.end()) {
+    const auto sent = sent_requests_.find(id);
+    if (sent == sent_requests_.end()) {
       broken.push_back("UNASKED " + id);
       continue;
     }
-    const CallerView& view = asked->second;
+    const RequestRecord& view = sent->second;
     if (!MayRepeat(view.kind) && runs.size() > 1) {
       broken.push_back(absl::StrCat("TWICE ", view.kind, " ", id, " ran ",
                                     runs.size(), " times"));
     }
-    if (!MayRepeat(view.kind) && IsPromiseOfNotRun(view.status)) {
+    if (!MayRepeat(view.kind) && MeansNotExecuted(view.status)) {
       broken.push_back(absl::StrCat("REFUSED ", view.kind, " ", id, " got ",
                                     view.status, " and ran"));
     }
     for (const ServedRun& run : runs) {
-      const auto left = platform_.left_at().find(run.server);
-      if (left == platform_.left_at().end() || !is_calm_.at(id)) continue;
+      const auto left = platform_.withdrawn_at().find(run.server);
+      if (left == platform_.withdrawn_at().end() || !is_calm_.at(id)) continue;
       if (run.at > left->second + kDrainBound) {
         broken.push_back(absl::StrCat("DRAIN ", id, " reached ", run.server));
       }
@@ -476,10 +482,10 @@
 
 std::string Soak::Summary() const {
   std::map<int, int> by_status;
-  for (const auto& [id, view] : asked_) ++by_status[view.status];
+  for (const auto& [id, view] : sent_requests_) ++by_status[view.status];
   std::string text =
       absl::StrCat("seed=", options_.seed, " hosts=", options_.hosts,
-                   " requests=", asked_.size());
+                   " requests=", sent_requests_.size());
   for (const auto& [status, count] : by_status) {
     absl::StrAppend(&text, " ", status == 0 ? "none" : absl::StrCat(status),
                     "=", count);
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -30,7 +30,7 @@
 };
 
 // A request and the response that its caller received.
-struct CallerView {
+struct RequestRecord {
   std::string kind;  // Name of the route.
   int host = 0;
   TimePoint sent_at;
@@ -56,18 +56,20 @@
   template <typename T>
   using Awaitable = boost::asio::awaitable<T>;
 
-  Awaitable<void> Caller(int host, uint64_t seed);
+  Awaitable<void> RunCaller(int host, uint64_t seed);
   // Sends a poison message of `kind` repeatedly to all hosts.
-  Awaitable<void> PoisonCaller(std::string kind);
+  Awaitable<void> RunPoisonCaller(std::string kind);
   // Makes servers announce, change and withdraw limits.
-  Awaitable<void> Limits();
-  Awaitable<void> Faults();
-  Awaitable<void> OneFault();
-  Awaitable<void> Restart(int host, int signal);
-  void Note(const std::string& fault);
+  Awaitable<void> RunLimits();
+  Awaitable<void> RunFaults();
+  Awaitable<void> InjectFault();
+  Awaitable<void> RestartHost(int host, int signal);
+  void RecordFault(const std::string& fault);
   // Effects of faults outlast them: leases expire, reads catch up, hosts take
   // over.
-  void Disturb() { disturbed_until_ = clock_.Now() + std::chrono::seconds(6); }
+  void MarkDisturbed() {
+    disturbed_until_ = clock_.Now() + std::chrono::seconds(6);
+  }
 
   void CheckAnswers(std::vector<std::string>& broken) const;
   void CheckRuns(std::vector<std::string>& broken) const;
@@ -75,12 +77,14 @@
   void CheckLimits(std::vector<std::string>& broken) const;
   // Arrivals at `server` from hosts that had received its limit and had no
   // fault.
-  std::vector<TimePoint> KnowingArrivals(const std::string& server) const;
+  std::vector<TimePoint> ArrivalsWithKnownLimit(
+      const std::string& server) const;
   // Returns the highest limit in force in a time span; nullopt if no limit was
   // in force at some moment of it.
   static std::optional<double> HighestLimit(
-      const std::vector<NamedLimit>& named, TimePoint from, TimePoint to);
-  void NoteLimit(int host, const HttpResponse& response);
+      const std::vector<AnnouncedLimit>& announced, TimePoint from,
+      TimePoint to);
+  void RecordLimit(int host, const HttpResponse& response);
   // Exempts a host from the limit check during a fault and the recovery after.
   void Excuse(int host, Duration lasts);
   bool IsExcused(int host, TimePoint at) const;
@@ -93,7 +97,7 @@
   std::vector<std::unique_ptr<FaultProxy>> store_proxies_;
   HostProcesses hosts_;
   HttpClient client_;
-  std::map<std::string, CallerView> asked_;
+  std::map<std::string, RequestRecord> sent_requests_;
   std::vector<std::string> added_routes_;
   std::vector<std::string> faults_;
   TimePoint ends_at_;
@@ -102,7 +106,7 @@
   std::map<std::string, bool> is_calm_;
   std::map<int, int> poison_answers_;  // Keyed by status; zero: no answer.
   // Time of the first response with a limit, by host and server.
-  std::map<std::pair<int, std::string>, TimePoint> told_at_;
+  std::map<std::pair<int, std::string>, TimePoint> limit_received_at_;
   std::map<int, std::vector<std::pair<TimePoint, TimePoint>>> excused_;
   int callers_running_ = 0;
 };
--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -14,10 +14,9 @@
 constexpr Duration kHostPoll = std::chrono::milliseconds(500);
 constexpr Duration kLogRetry = std::chrono::milliseconds(200);
 constexpr Duration kServiceCallTime = std::chrono::milliseconds(5);
-constexpr size_t kMostRead = 500;
-// Maximum number of events that a paused host receives on resume; the rest is
-// lost with its connections.
-constexpr size_t kMostBacklog = 20000;
+constexpr size_t kMaxRead = 500;
+// Events queued for a paused host; more are lost with its connections.
+constexpr size_t kMaxBacklog = 20000;
 // Time after its deadline by which a request must have its outcome.
 constexpr Duration kOutcomeGrace = std::chrono::minutes(1);
 
@@ -26,7 +25,7 @@
 struct Deployment::Host {
   std::string name;
   std::string data_centre;
-  uint64_t life = 0;  // Events for an earlier incarnation are dropped.
+  uint64_t epoch = 0;  // Incarnation; events for an earlier one are dropped.
   std::unique_ptr<Node> node;
   bool is_alive = true;
   bool is_paused = false;
@@ -103,14 +102,14 @@
   auto host = std::make_unique<Host>();
   host->name = name;
   host->data_centre = data_centre;
-  host->life = next_incarnation_++;
+  host->epoch = next_incarnation_++;
   NodeSettings node = settings_.node;
-  node.self = {name, host->life};
+  node.self = {name, host->epoch};
   node.data_centre = data_centre;
   node.store_loads_per_second = settings_.store_loads_per_second;
   node.store_slots = settings_.store_slots;
   node.host_list_lag = settings_.host_list_lag;
-  node.seed = settings_.seed * 1000 + host->life;
+  node.seed = settings_.seed * 1000 + host->epoch;
   host->node = std::make_unique<Node>(node);
   HostEntry entry;
   entry.name = name;
@@ -118,18 +117,19 @@
   entry.data_centre = data_centre;
   entry.address = name;
   entry.peer_address = name;
-  entry.incarnation = host->life;
+  entry.incarnation = host->epoch;
   listed_[name] = entry;
-  const uint64_t life = host->life;
+  const uint64_t epoch = host->epoch;
   hosts_[name] = std::move(host);
-  At(Duration{0}, [=, this] { FollowLog(name, life); });
-  At(Duration{0}, [=, this] { FollowHosts(name, life); });
-  At(Duration{1}, [=, this] { TickHost(name, life); });
-  At(Duration{0},
-     [=, this] { Tell(name, life, CatalogueRead{store_.ListCatalogue()}); });
+  After(Duration{0}, [=, this] { PollLog(name, epoch); });
+  After(Duration{0}, [=, this] { PollHostList(name, epoch); });
+  After(Duration{1}, [=, this] { TickHost(name, epoch); });
+  After(Duration{0}, [=, this] {
+    Post(name, epoch, CatalogueRead{store_.ListCatalogue()});
+  });
 }
 
-void Deployment::At(Duration delay, std::function<void()> run) {
+void Deployment::After(Duration delay, std::function<void()> run) {
   queue_.push({now_ + delay, event_count_++, std::move(run)});
 }
 
@@ -155,13 +155,13 @@
 
 // ---- Hosts ----
 
-void Deployment::Tell(const std::string& name, uint64_t life, Event event) {
+void Deployment::Post(const std::string& name, uint64_t epoch, Event event) {
   const auto it = hosts_.find(name);
   if (it == hosts_.end()) return;
   Host& host = *it->second;
-  if (!host.is_alive || host.life != life) return;
+  if (!host.is_alive || host.epoch != epoch) return;
   if (host.is_paused) {
-    if (host.backlog.size() < kMostBacklog) {
+    if (host.backlog.size() < kMaxBacklog) {
       host.backlog.push_back(std::move(event));
     }
     return;
@@ -176,29 +176,31 @@
   for (Action& action : actions) Perform(host, std::move(action));
 }
 
-void Deployment::TickHost(const std::string& name, uint64_t life) {
+void Deployment::TickHost(const std::string& name, uint64_t epoch) {
   const auto it = hosts_.find(name);
-  if (it == hosts_.end() || it->second->life != life || !it->second->is_alive) {
+  if (it == hosts_.end() || it->second->epoch != epoch ||
+      !it->second->is_alive) {
     return;
   }
   if (!it->second->is_paused) HandleNow(*it->second, Tick{});
-  At(settings_.tick, [=, this] { TickHost(name, life); });
+  After(settings_.tick, [=, this] { TickHost(name, epoch); });
 }
 
-void Deployment::FollowLog(const std::string& name, uint64_t life) {
+void Deployment::PollLog(const std::string& name, uint64_t epoch) {
   const auto it = hosts_.find(name);
-  if (it == hosts_.end() || it->second->life != life || !it->second->is_alive) {
+  if (it == hosts_.end() || it->second->epoch != epoch ||
+      !it->second->is_alive) {
     return;
   }
   Host& host = *it->second;
-  const auto again = [=, this] { FollowLog(name, life); };
+  const auto again = [=, this] { PollLog(name, epoch); };
   if (host.is_paused) {
-    At(kLogRetry, again);
+    After(kLogRetry, again);
     return;
   }
-  if (log_down_ || cut_.contains(host.data_centre)) {
-    Tell(name, life, LogFailed{});
-    At(kLogRetry, again);
+  if (is_log_down_ || partitioned_.contains(host.data_centre)) {
+    Post(name, epoch, LogFailed{});
+    After(kLogRetry, again);
     return;
   }
   for (const char* stream : {kControlStream, kClaimsStream}) {
@@ -206,17 +208,18 @@
     if (is_control && !host.node->WantsControlReads()) continue;
     LogOffset& from = is_control ? host.control_offset : host.claims_offset;
     if (is_control) from = std::max(from, host.node->control_offset());
-    const LogBatch batch = log_.Read(stream, from, kMostRead, now_);
+    const LogBatch batch = log_.Read(stream, from, kMaxRead, now_);
     from = std::max(from, batch.first_offset);
     if (!batch.records.empty()) from = batch.records.back().offset + 1;
-    At(settings_.log_delay + log_extra_, [=, this] {
-      if (!log_down_) Tell(name, life, LogRead{batch});
+    After(settings_.log_delay + log_extra_delay_, [=, this] {
+      if (!is_log_down_) Post(name, epoch, LogRead{batch});
     });
   }
-  At(std::max(settings_.tick, settings_.log_delay + log_extra_), again);
+  After(std::max(settings_.tick, settings_.log_delay + log_extra_delay_),
+        again);
 }
 
-HostList Deployment::Listed() const {
+HostList Deployment::VisibleHostList() const {
   HostList list;
   list.as_of = now_ - settings_.host_list_lag;
   const std::map<std::string, HostEntry>* shown = &history_.front().second;
@@ -229,13 +232,13 @@
 
 void Deployment::RecordHistory() { history_.emplace_back(now_, listed_); }
 
-void Deployment::FollowHosts(const std::string& name, uint64_t life) {
+void Deployment::PollHostList(const std::string& name, uint64_t epoch) {
   const auto it = hosts_.find(name);
-  if (it == hosts_.end() || it->second->life != life) return;
-  if (!cut_.contains(it->second->data_centre)) {
-    Tell(name, life, HostListRead{Listed()});
+  if (it == hosts_.end() || it->second->epoch != epoch) return;
+  if (!partitioned_.contains(it->second->data_centre)) {
+    Post(name, epoch, HostListRead{VisibleHostList()});
   }
-  At(kHostPoll, [=, this] { FollowHosts(name, life); });
+  After(kHostPoll, [=, this] { PollHostList(name, epoch); });
 }
 
 std::string Deployment::CentreOf(const std::string& host) const {
@@ -250,83 +253,84 @@
 bool Deployment::IsCut(const std::string& from, const std::string& to) const {
   const std::string a = CentreOf(from);
   const std::string b = CentreOf(to);
-  return a != b && (cut_.contains(a) || cut_.contains(b));
+  return a != b && (partitioned_.contains(a) || partitioned_.contains(b));
 }
 
 Duration Deployment::Delay(const std::string& from, const std::string& to) {
-  const Duration base = CentreOf(from) == CentreOf(to) ? settings_.near_delay
-                                                       : settings_.far_delay;
+  const Duration base = CentreOf(from) == CentreOf(to) ? settings_.local_delay
+                                                       : settings_.remote_delay;
   return base + FromSeconds(ToSeconds(base) * random_.Unit());
 }
 
 // ---- Actions ----
 
 void Deployment::Perform(Host& host, Action action) {
-  std::visit([&](const auto& a) { On(host, a); }, action);
+  std::visit([&](const auto& a) { Execute(host, a); }, action);
 }
 
-void Deployment::On(Host& host, const SendPeer& action) {
+void Deployment::Execute(Host& host, const SendPeer& action) {
   if (IsCut(host.name, action.host) || !hosts_.contains(action.host)) return;
   if (peer_loss_ > 0 && random_.Unit() < peer_loss_) return;
-  const uint64_t life = hosts_.at(action.host)->life;
+  const uint64_t epoch = hosts_.at(action.host)->epoch;
   const std::string from = host.name;
   const std::vector<uint8_t> bytes = action.message.Encode();
-  At(Delay(host.name, action.host), [=, this, to = action.host] {
+  After(Delay(host.name, action.host), [=, this, to = action.host] {
     const std::optional<PeerMessage> message = PeerMessage::Decode(bytes);
-    if (message) Tell(to, life, PeerMessageReceived{from, *message});
+    if (message) Post(to, epoch, PeerMessageReceived{from, *message});
   });
 }
 
-void Deployment::On(Host& host, const SendPeers& action) {
+void Deployment::Execute(Host& host, const SendPeers& action) {
   for (const PeerAddress& peer : action.peers) {
-    On(host, SendPeer{peer.host, peer.address, action.message});
+    Execute(host, SendPeer{peer.host, peer.address, action.message});
   }
 }
 
-void Deployment::On(Host& host, const AppendRecord& action) {
+void Deployment::Execute(Host& host, const AppendRecord& action) {
   const std::string name = host.name;
-  const uint64_t life = host.life;
-  if (cut_.contains(host.data_centre)) {
-    At(kLogRetry, [=, this] {
-      Tell(name, life, LogFailed{});
-      Tell(name, life, AppendEnded{action.record_id, false});
+  const uint64_t epoch = host.epoch;
+  if (partitioned_.contains(host.data_centre)) {
+    After(kLogRetry, [=, this] {
+      Post(name, epoch, LogFailed{});
+      Post(name, epoch, AppendEnded{action.record_id, false});
     });
     return;
   }
-  At(settings_.log_delay + log_extra_, [=, this] {
-    if (log_down_) {
-      Tell(name, life, LogFailed{});
-      Tell(name, life, AppendEnded{action.record_id, false});
+  After(settings_.log_delay + log_extra_delay_, [=, this] {
+    if (is_log_down_) {
+      Post(name, epoch, LogFailed{});
+      Post(name, epoch, AppendEnded{action.record_id, false});
       return;
     }
     log_.Append(action.stream, action.payload, now_);
     const bool is_lost = lose_append_answers_ > 0;
     if (is_lost) --lose_append_answers_;
-    At(settings_.log_delay, [=, this] {
-      Tell(name, life, AppendEnded{action.record_id, !is_lost});
+    After(settings_.log_delay, [=, this] {
+      Post(name, epoch, AppendEnded{action.record_id, !is_lost});
     });
   });
 }
 
-void Deployment::On(Host& host, const SendOrder& action) {
+void Deployment::Execute(Host& host, const SendOrder& action) {
   const std::string name = host.name;
-  const uint64_t life = host.life;
+  const uint64_t epoch = host.epoch;
   if (host.is_paused) {
     host.unsent_orders.push_back(action);
     return;
   }
   if (order_loss_ > 0 && random_.Unit() < order_loss_) return;
-  const Duration late = FromSeconds(ToSeconds(order_late_) * random_.Unit());
-  At(Delay(name, action.engine) + late,
-     [=, this] { DeliverOrder(name, life, action); });
-  if (order_doubling_ > 0 && random_.Unit() < order_doubling_) {
-    const Duration later = FromSeconds(ToSeconds(order_late_) * random_.Unit());
-    At(Delay(name, action.engine) + later,
-       [=, this] { DeliverOrder(name, life, action); });
+  const Duration late = FromSeconds(ToSeconds(order_delay_) * random_.Unit());
+  After(Delay(name, action.engine) + late,
+        [=, this] { DeliverOrder(name, epoch, action); });
+  if (order_duplication_ > 0 && random_.Unit() < order_duplication_) {
+    const Duration later =
+        FromSeconds(ToSeconds(order_delay_) * random_.Unit());
+    After(Delay(name, action.engine) + later,
+          [=, this] { DeliverOrder(name, epoch, action); });
   }
 }
 
-void Deployment::DeliverOrder(const std::string& host, uint64_t life,
+void Deployment::DeliverOrder(const std::string& host, uint64_t epoch,
                               const SendOrder& action) {
   const auto it = engines_.find(action.engine);
   if (it == engines_.end() || failing_engines_.contains(action.engine)) return;
@@ -336,16 +340,16 @@
   if (action.order.kind != OrderKind::kInspect) CheckEngines();
   // Answers are lost and delayed at the same rates as orders.
   if (order_loss_ > 0 && random_.Unit() < order_loss_) return;
-  const Duration late = FromSeconds(ToSeconds(order_late_) * random_.Unit());
-  At(Delay(host, action.engine) + late, [=, this] {
+  const Duration late = FromSeconds(ToSeconds(order_delay_) * random_.Unit());
+  After(Delay(host, action.engine) + late, [=, this] {
     // Ages are relative in the wire format, so times shift by the delay.
-    Tell(host, life,
+    Post(host, epoch,
          EngineAnswered{Inventory::FromJson(inventory.ToJson(asked_at), now_),
                         asked_at});
   });
 }
 
-void Deployment::On(Host& host, const DispatchRequest& action) {
+void Deployment::Execute(Host& host, const DispatchRequest& action) {
   ++dispatched_;
   switch (action.kind) {
     case BackendKind::kEngine:
@@ -360,7 +364,7 @@
   }
 }
 
-void Deployment::EndAttempt(const std::string& host, uint64_t life,
+void Deployment::EndAttempt(const std::string& host, uint64_t epoch,
                             const DispatchRequest& action, AttemptResult result,
                             bool is_cut) {
   AttemptEnded ended;
@@ -370,35 +374,36 @@
   ended.is_cut = is_cut;
   const auto it = hosts_.find(host);
   if (result == AttemptResult::kCompleted && it != hosts_.end() &&
-      it->second->life == life) {
+      it->second->epoch == epoch) {
     // The answer itself reaches the caller without passing the node.
     const auto origin = it->second->origins.find(action.handle);
     if (origin != it->second->origins.end() && it->second->is_alive) {
-      Settle(origin->second, true, {}, action.rule);
+      Finish(origin->second, true, {}, action.rule);
       it->second->origins.erase(origin);
     }
   }
-  Tell(host, life, ended);
+  Post(host, epoch, ended);
 }
 
 void Deployment::DispatchToEngine(Host& host, const DispatchRequest& action) {
   const std::string name = host.name;
-  const uint64_t life = host.life;
+  const uint64_t epoch = host.epoch;
   const auto origin = host.origins.find(action.handle);
   const uint64_t request =
       origin == host.origins.end() ? 0 : origin->second.request;
   if (IsCut(name, action.backend)) {
-    At(settings_.far_delay,
-       [=, this] { EndAttempt(name, life, action, AttemptResult::kNotSent); });
+    After(settings_.remote_delay, [=, this] {
+      EndAttempt(name, epoch, action, AttemptResult::kNotSent);
+    });
     return;
   }
-  At(Delay(name, action.backend), [=, this] {
+  After(Delay(name, action.backend), [=, this] {
     const auto it = engines_.find(action.backend);
     const Duration back = Delay(name, action.backend);
     const auto end = [=, this](AttemptResult result, Duration after,
                                bool is_cut = false) {
-      At(after + back,
-         [=, this] { EndAttempt(name, life, action, result, is_cut); });
+      After(after + back,
+            [=, this] { EndAttempt(name, epoch, action, result, is_cut); });
     };
     if (it == engines_.end() || IsStarting(action.backend)) {
       return end(AttemptResult::kNotSent, {});
@@ -420,31 +425,31 @@
         break;
     }
     ++runs_of_request_[request];
-    if (poisons_.contains(request)) {
-      EndUnderPoison(action.backend);
+    if (poison_requests_.contains(request)) {
+      CrashOnPoison(action.backend);
       return end(AttemptResult::kBroken, {}, /*is_cut=*/true);
     }
-    const uint64_t engine_life = engine.settings().incarnation;
+    const uint64_t engine_epoch = engine.settings().incarnation;
     const Duration took =
         settings_.service_time +
         FromSeconds(ToSeconds(settings_.service_time) * random_.Unit());
-    At(took, [=, this] {
+    After(took, [=, this] {
       FakeEngine& running = *engines_.at(action.backend);
-      const bool is_lost = running.settings().incarnation != engine_life ||
+      const bool is_lost = running.settings().incarnation != engine_epoch ||
                            (flakiness_ > 0 && random_.Unit() < flakiness_) ||
                            failing_engines_.contains(action.backend);
-      if (running.settings().incarnation == engine_life) {
+      if (running.settings().incarnation == engine_epoch) {
         running.EndRequest(action.model, now_);
       }
-      const bool has_ended = running.settings().incarnation != engine_life;
+      const bool has_ended = running.settings().incarnation != engine_epoch;
       end(is_lost ? AttemptResult::kBroken : AttemptResult::kCompleted, {},
           has_ended);
     });
   });
 }
 
-void Deployment::EndUnderPoison(const std::string& engine) {
-  poison_ends_.push_back(now_);
+void Deployment::CrashOnPoison(const std::string& engine) {
+  poison_crashes_.push_back(now_);
   starting_until_[engine] = now_ + kEngineStart;
   RestartEngine(engine);
 }
@@ -456,32 +461,33 @@
 
 void Deployment::DispatchToService(Host& host, const DispatchRequest& action) {
   const std::string name = host.name;
-  const uint64_t life = host.life;
+  const uint64_t epoch = host.epoch;
   const auto origin = host.origins.find(action.handle);
   const uint64_t request =
       origin == host.origins.end() ? 0 : origin->second.request;
-  At(Delay(name, action.backend), [=, this] {
+  After(Delay(name, action.backend), [=, this] {
     Service& service = services_.at(action.backend);
     const std::string key = request == 0 ? "" : outcomes_.at(request).key;
     ++runs_of_request_[request];
     if (!key.empty() && ++service.runs[key] && RunsOfKey(key) > 1) {
-      Break("idempotency key executed twice: " + key);
+      Report("idempotency key executed twice: " + key);
     }
     const AttemptResult result =
         service.is_failing ? AttemptResult::kBroken : AttemptResult::kCompleted;
-    At(kServiceCallTime + Delay(name, action.backend),
-       [=, this] { EndAttempt(name, life, action, result); });
+    After(kServiceCallTime + Delay(name, action.backend),
+          [=, this] { EndAttempt(name, epoch, action, result); });
   });
 }
 
 void Deployment::Forward(Host& host, const DispatchRequest& action) {
   const std::string name = host.name;
-  const uint64_t life = host.life;
+  const uint64_t epoch = host.epoch;
   const auto target = hosts_.find(action.backend);
   if (IsCut(name, action.backend) || target == hosts_.end() ||
       !target->second->is_alive) {
-    At(settings_.far_delay,
-       [=, this] { EndAttempt(name, life, action, AttemptResult::kNotSent); });
+    After(settings_.remote_delay, [=, this] {
+      EndAttempt(name, epoch, action, AttemptResult::kNotSent);
+    });
     return;
   }
   RequestArrived event;
@@ -498,24 +504,24 @@
   origin.from_host = name;
   origin.from_handle = action.handle;
   origin.from_attempt = action.attempt;
-  origin.from_life = life;
+  origin.from_epoch = epoch;
   const std::string to = action.backend;
-  At(Delay(name, to), [=, this] { Arrive(to, event, origin); });
+  After(Delay(name, to), [=, this] { Deliver(to, event, origin); });
 }
 
-void Deployment::On(Host&, const CancelAttempt&) {
+void Deployment::Execute(Host&, const CancelAttempt&) {
   // Engines finish requests that they started; the answer is then dropped.
 }
 
-void Deployment::On(Host& host, const RefuseRequest& action) {
+void Deployment::Execute(Host& host, const RefuseRequest& action) {
   const auto origin = host.origins.find(action.handle);
   if (origin == host.origins.end()) return;
   const Origin from = origin->second;
   host.origins.erase(origin);
-  Settle(from, false, action.refusal, action.rule);
+  Finish(from, false, action.refusal, action.rule);
 }
 
-void Deployment::On(Host& host, const ProbeServer& action) {
+void Deployment::Execute(Host& host, const ProbeServer& action) {
   ServerProbed probed{action.server, ServerState::kUnknown};
   if (!IsCut(host.name, action.server)) {
     const bool is_there =
@@ -523,21 +529,21 @@
         services_.contains(action.server);
     probed.state = is_there ? ServerState::kListening : ServerState::kGone;
   }
-  Tell(host.name, host.life, probed);
+  Post(host.name, host.epoch, probed);
 }
 
-void Deployment::On(Host& host, const Drained&) {
-  if (!host.origins.empty()) Break("drain ended with open requests");
+void Deployment::Execute(Host& host, const Drained&) {
+  if (!host.origins.empty()) Report("drain ended with open requests");
   host.is_alive = false;
 }
 
 // ---- Requests ----
 
-void Deployment::Arrive(const std::string& name, RequestArrived event,
-                        Origin origin) {
+void Deployment::Deliver(const std::string& name, RequestArrived event,
+                         Origin origin) {
   const auto it = hosts_.find(name);
   if (it == hosts_.end() || !it->second->is_alive) {
-    Settle(origin, false,
+    Finish(origin, false,
            {Verdict::kNotRun, RefusalReason::kNoBackend, "host is down", {}},
            "");
     return;
@@ -545,7 +551,7 @@
   Host& host = *it->second;
   event.handle = host.next_handle++;
   host.origins[event.handle] = origin;
-  Tell(name, host.life, event);
+  Post(name, host.epoch, event);
 }
 
 uint64_t Deployment::Send(const std::string& host, const std::string& model,
@@ -558,7 +564,7 @@
   outcome.model = model;
   outcome.key = key;
   outcome.limit = now_ + deadline.value_or(std::chrono::seconds(30));
-  open_.insert(id);
+  open_requests_.insert(id);
   RequestArrived event;
   event.request_id = absl::StrCat("r", id);
   event.facts.caller = caller;
@@ -569,19 +575,19 @@
   event.idempotency_key = key;
   Origin origin;
   origin.request = id;
-  Arrive(host, event, origin);
+  Deliver(host, event, origin);
   return id;
 }
 
 uint64_t Deployment::SendPoison(const std::string& host,
                                 const std::string& model) {
   const uint64_t id = ++request_count_;
-  poisons_.insert(id);
+  poison_requests_.insert(id);
   RequestOutcome& outcome = outcomes_[id];
   outcome.sent_at = now_;
   outcome.model = model;
   outcome.limit = now_ + std::chrono::seconds(30);
-  open_.insert(id);
+  open_requests_.insert(id);
   RequestArrived event;
   event.request_id = absl::StrCat("r", id);
   event.facts.caller = "caller";
@@ -591,7 +597,7 @@
   event.fingerprint = kPoisonFingerprint;
   Origin origin;
   origin.request = id;
-  Arrive(host, event, origin);
+  Deliver(host, event, origin);
   return id;
 }
 
@@ -603,7 +609,7 @@
   outcome.sent_at = now_;
   outcome.key = key;
   outcome.limit = now_ + std::chrono::seconds(30);
-  open_.insert(id);
+  open_requests_.insert(id);
   RequestArrived event;
   event.request_id = absl::StrCat("r", id);
   event.facts.caller = "kiosk";
@@ -613,11 +619,11 @@
   event.idempotency_key = key;
   Origin origin;
   origin.request = id;
-  Arrive(host, event, origin);
+  Deliver(host, event, origin);
   return id;
 }
 
-void Deployment::Leave(uint64_t request) {
+void Deployment::DisconnectCaller(uint64_t request) {
   for (auto& [name, host] : hosts_) {
     for (auto it = host->origins.begin(); it != host->origins.end(); ++it) {
       if (it->second.request != request || !it->second.from_host.empty()) {
@@ -625,14 +631,14 @@
       }
       const RequestHandle handle = it->first;
       host->origins.erase(it);
-      open_.erase(request);
-      Tell(name, host->life, CallerGone{handle});
+      open_requests_.erase(request);
+      Post(name, host->epoch, CallerGone{handle});
       return;
     }
   }
 }
 
-void Deployment::Settle(const Origin& origin, bool answered,
+void Deployment::Finish(const Origin& origin, bool answered,
                         const Refusal& refusal, const std::string& rule) {
   if (!origin.from_host.empty()) {
     DispatchRequest action;
@@ -644,9 +650,9 @@
                                      ? AttemptResult::kRefused
                                      : AttemptResult::kBroken;
     const std::string host = origin.from_host;
-    const uint64_t life = origin.from_life;
-    At(settings_.far_delay,
-       [=, this] { EndAttempt(host, life, action, result); });
+    const uint64_t epoch = origin.from_epoch;
+    After(settings_.remote_delay,
+          [=, this] { EndAttempt(host, epoch, action, result); });
     return;
   }
   RequestOutcome& outcome = outcomes_.at(origin.request);
@@ -655,12 +661,12 @@
   outcome.refusal = refusal;
   outcome.rule = rule;
   outcome.ended_at = now_;
-  open_.erase(origin.request);
-  if (outcome.answers > 1) Break("a request was answered more than once");
+  open_requests_.erase(origin.request);
+  if (outcome.answers > 1) Report("a request was answered more than once");
   if (!answered && refusal.verdict == Verdict::kNotRun &&
       runs_of_request_[origin.request] > 0) {
-    Break(absl::StrCat("refused as \"not run\" but executed: request ",
-                       origin.request, ", ", refusal.detail));
+    Report(absl::StrCat("refused as \"not run\" but executed: request ",
+                        origin.request, ", ", refusal.detail));
   }
 }
 
@@ -672,13 +678,13 @@
   // The callers' connections break, which counts as an outcome.
   for (const auto& [handle, origin] : host.origins) {
     if (origin.from_host.empty()) {
-      open_.erase(origin.request);
+      open_requests_.erase(origin.request);
       outcomes_[origin.request].answers = 1;
       outcomes_[origin.request].refusal = {
           Verdict::kMayHaveRun, RefusalReason::kBackendFailed, "host died", {}};
       outcomes_[origin.request].ended_at = now_;
     } else {
-      Settle(origin, false,
+      Finish(origin, false,
              {Verdict::kMayHaveRun, RefusalReason::kBackendFailed, "died", {}},
              "");
     }
@@ -705,12 +711,12 @@
     HandleNow(host, event);
   }
   for (const SendOrder& order : std::exchange(host.unsent_orders, {})) {
-    if (now_ <= order.order.send_by) On(host, order);
+    if (now_ <= order.order.send_by) Execute(host, order);
   }
 }
 
 void Deployment::DrainHost(const std::string& name) {
-  Tell(name, hosts_.at(name)->life, DrainRequested{});
+  Post(name, hosts_.at(name)->epoch, DrainRequested{});
 }
 
 void Deployment::ListLeaving(const std::string& name) {
@@ -727,18 +733,17 @@
   for (auto& [name, engine] : engines_) engine->SetReportLag(lag);
 }
 
-void Deployment::SetOrderFaults(double loss, double duplication,
-                                Duration max_delay) {
+void Deployment::SetOrderFaults(double loss, double repeats, Duration late) {
   order_loss_ = loss;
-  order_doubling_ = duplication;
-  order_late_ = max_delay;
+  order_duplication_ = repeats;
+  order_delay_ = late;
 }
 
 void Deployment::CutDataCentre(const std::string& name, bool cut) {
   if (cut) {
-    cut_.insert(name);
+    partitioned_.insert(name);
   } else {
-    cut_.erase(name);
+    partitioned_.erase(name);
   }
 }
 
@@ -832,37 +837,36 @@
   return total;
 }
 
-// Rule set versions never decrease at a host.
 void Deployment::CheckVersion(const Host& host) {
   const auto rules = host.node->context().control.rules().current();
   if (!rules) return;
-  LogOffset& seen = versions_seen_[absl::StrCat(host.name, "@", host.life)];
-  if (rules->version < seen) Break("rule set reverted on " + host.name);
+  LogOffset& seen = versions_seen_[absl::StrCat(host.name, "@", host.epoch)];
+  if (rules->version < seen) Report("rule set reverted on " + host.name);
   seen = std::max(seen, rules->version);
-  if (rules->version <= truth_version_) return;
-  truth_version_ = rules->version;
-  truth_bounds_ = ReplicaBoundsTable(rules->set.rules);
+  if (rules->version <= newest_version_) return;
+  newest_version_ = rules->version;
+  newest_bounds_ = ReplicaBoundsTable(rules->set.rules);
 }
 
 void Deployment::CheckEngines() {
   std::map<std::string, int> replicas;
   for (const auto& [name, engine] : engines_) {
-    if (engine->was_overcommitted()) Break("overcommitted: " + name);
+    if (engine->was_overcommitted()) Report("overcommitted: " + name);
     for (const std::string& model : engine->Resident()) {
       ++replicas[absl::StrCat(engine->settings().data_centre, "/", model)];
     }
   }
   for (const auto& [name, count] : replicas) {
-    if (count <= 1 && truth_version_ > 0) continue;
+    if (count <= 1 && newest_version_ > 0) continue;
     const std::string model = name.substr(name.find('/') + 1);
-    int allowed = truth_bounds_.For(model).most;
+    int allowed = newest_bounds_.For(model).most;
     for (const CatalogueEntry& entry : settings_.catalogue) {
       // A base model may be loaded for its adapters.
       if (entry.base != model) continue;
-      allowed = std::max(allowed, truth_bounds_.For(entry.name).most);
+      allowed = std::max(allowed, newest_bounds_.For(entry.name).most);
     }
     if (count > allowed) {
-      Break(absl::StrCat("too many replicas: ", count, " of ", name));
+      Report(absl::StrCat("too many replicas: ", count, " of ", name));
     }
   }
 }
@@ -875,7 +879,7 @@
       if (origin.from_host.empty()) holders[origin.request] = host.get();
     }
   }
-  for (const uint64_t id : open_) {
+  for (const uint64_t id : open_requests_) {
     TimePoint owed_at = outcomes_.at(id).limit;
     const auto holder = holders.find(id);
     if (holder != holders.end()) {
@@ -883,7 +887,7 @@
       owed_at = std::max(owed_at, holder->second->resumed_at);
     }
     if (owed_at + kOutcomeGrace < now_) {
-      Break(absl::StrCat("request ", id, " has no outcome in time"));
+      Report(absl::StrCat("request ", id, " has no outcome in time"));
     }
   }
 }
--- a/standins/deployment.h
+++ b/standins/deployment.h
@@ -35,8 +35,8 @@
   double store_slot_bytes_per_second = 5e8;
   Duration tick = std::chrono::milliseconds(20);
   Duration service_time = std::chrono::milliseconds(200);
-  Duration near_delay = std::chrono::microseconds(300);
-  Duration far_delay = std::chrono::milliseconds(2);
+  Duration local_delay = std::chrono::microseconds(300);
+  Duration remote_delay = std::chrono::milliseconds(2);
   Duration log_delay = std::chrono::milliseconds(3);
   Duration host_list_lag = std::chrono::milliseconds(1000);
   Duration log_retention = std::chrono::hours(24);
@@ -85,7 +85,7 @@
   uint64_t CallService(const std::string& host, const std::string& service,
                        const std::string& key);
   // Disconnects the caller of a request.
-  void Leave(uint64_t request);
+  void DisconnectCaller(uint64_t request);
 
   // Failures. Each lasts until it is reset.
   void KillHost(const std::string& host);
@@ -98,17 +98,17 @@
   // removes it from the list.
   void ListLeaving(const std::string& name);
   void ListGone(const std::string& name);
-  void SetLogDown(bool down) { log_down_ = down; }
+  void SetLogDown(bool down) { is_log_down_ = down; }
   // Adds `extra` to the latency of log reads and appends.
-  void SetLogSlow(Duration extra) { log_extra_ = extra; }
+  void SetLogSlow(Duration extra) { log_extra_delay_ = extra; }
   // Multiplies the time of weight store fetches.
   void SetStoreSlow(double factor) { store_.SetSlowness(factor); }
   void SetReportLag(Duration lag);
   // The next `count` appends take effect, but report a failure.
   void LoseAppendAnswers(int count) { lose_append_answers_ = count; }
-  // Loses and duplicates these shares of the engine orders, and delays orders
-  // and their answers by up to `max_delay`.
-  void SetOrderFaults(double loss, double duplication, Duration max_delay);
+  // Loses and repeats these shares of the engine orders, and delays orders and
+  // their answers by up to `late`.
+  void SetOrderFaults(double loss, double repeats, Duration late);
   // Cuts the network between a data centre and all others, log and host list
   // included.
   void CutDataCentre(const std::string& name, bool cut);
@@ -141,11 +141,11 @@
   int RunsOfKey(const std::string& key) const;
   uint64_t dispatched() const { return dispatched_; }
   // Times at which poison requests crashed engines, ascending.
-  const std::vector<TimePoint>& poison_ends() const { return poison_ends_; }
+  const std::vector<TimePoint>& poison_ends() const { return poison_crashes_; }
   uint64_t loads_decided() const;
   // Invariants violated so far, with details; checked after each step against
   // the state of the fakes, not against the nodes' own tables.
-  const std::set<std::string>& broken_promises() const { return broken_; }
+  const std::set<std::string>& broken_promises() const { return violations_; }
   Duration idle_time() const;
   double idle_engine_seconds() const;
   // True if a replica of `model` is ready in the data centre of `host`.
@@ -176,55 +176,55 @@
     std::string from_host;
     RequestHandle from_handle = 0;
     int from_attempt = 0;
-    uint64_t from_life = 0;
+    uint64_t from_epoch = 0;
   };
 
-  void At(Duration delay, std::function<void()> run);
+  void After(Duration delay, std::function<void()> run);
   void StartHost(const std::string& name, const std::string& data_centre);
-  void Tell(const std::string& host, uint64_t life, Event event);
+  void Post(const std::string& host, uint64_t epoch, Event event);
   void HandleNow(Host& host, const Event& event);
   void Perform(Host& host, Action action);
-  void On(Host& host, const DispatchRequest& action);
-  void On(Host& host, const CancelAttempt& action);
-  void On(Host& host, const RefuseRequest& action);
-  void On(Host& host, const SendOrder& action);
-  void On(Host& host, const AppendRecord& action);
-  void On(Host& host, const SendPeer& action);
-  void On(Host& host, const SendPeers& action);
-  void On(Host& host, const Drained& action);
+  void Execute(Host& host, const DispatchRequest& action);
+  void Execute(Host& host, const CancelAttempt& action);
+  void Execute(Host& host, const RefuseRequest& action);
+  void Execute(Host& host, const SendOrder& action);
+  void Execute(Host& host, const AppendRecord& action);
+  void Execute(Host& host, const SendPeer& action);
+  void Execute(Host& host, const SendPeers& action);
+  void Execute(Host& host, const Drained& action);
   // Not needed: leases, store updates and the quarantine topic belong to
   // fleets; these hosts place models by groups.
-  void On(Host&, const ReadLease&) {}
-  void On(Host&, const AppendLease&) {}
-  void On(Host&, const FollowStore&) {}
-  void On(Host&, const TakeStoreNews&) {}
-  void On(Host&, const ReadQuarantine&) {}
-  void On(Host&, const AppendQuarantine&) {}
-  void On(Host& host, const ProbeServer& action);
+  void Execute(Host&, const ReadLease&) {}
+  void Execute(Host&, const AppendLease&) {}
+  void Execute(Host&, const FollowStore&) {}
+  void Execute(Host&, const TakeStoreNews&) {}
+  void Execute(Host&, const ReadQuarantine&) {}
+  void Execute(Host&, const AppendQuarantine&) {}
+  void Execute(Host& host, const ProbeServer& action);
   void DispatchToEngine(Host& host, const DispatchRequest& action);
   void DispatchToService(Host& host, const DispatchRequest& action);
   void Forward(Host& host, const DispatchRequest& action);
-  void EndAttempt(const std::string& host, uint64_t life,
+  void EndAttempt(const std::string& host, uint64_t epoch,
                   const DispatchRequest& action, AttemptResult result,
                   bool is_cut = false);
-  void EndUnderPoison(const std::string& engine);
+  void CrashOnPoison(const std::string& engine);
   bool IsStarting(const std::string& engine) const;
-  void DeliverOrder(const std::string& host, uint64_t life,
+  void DeliverOrder(const std::string& host, uint64_t epoch,
                     const SendOrder& action);
-  void Arrive(const std::string& host, RequestArrived event, Origin origin);
-  void Settle(const Origin& origin, bool answered, const Refusal& refusal,
+  void Deliver(const std::string& host, RequestArrived event, Origin origin);
+  void Finish(const Origin& origin, bool answered, const Refusal& refusal,
               const std::string& rule);
-  void FollowLog(const std::string& host, uint64_t life);
-  void FollowHosts(const std::string& host, uint64_t life);
-  void TickHost(const std::string& host, uint64_t life);
+  void PollLog(const std::string& host, uint64_t epoch);
+  void PollHostList(const std::string& host, uint64_t epoch);
+  void TickHost(const std::string& host, uint64_t epoch);
   bool IsCut(const std::string& from, const std::string& to) const;
   std::string CentreOf(const std::string& host) const;
   Duration Delay(const std::string& from, const std::string& to);
   void CheckVersion(const Host& host);
   void CheckEngines();
   void CheckOpenRequests();
-  void Break(const std::string& promise) { broken_.insert(promise); }
-  HostList Listed() const;
+  void Report(const std::string& promise) { violations_.insert(promise); }
+  HostList VisibleHostList() const;
   void RecordHistory();
 
   DeploymentSettings settings_;
@@ -241,28 +241,28 @@
   std::map<std::string, HostEntry> listed_;
   std::vector<std::pair<TimePoint, std::map<std::string, HostEntry>>> history_;
   std::map<uint64_t, RequestOutcome> outcomes_;
-  std::set<uint64_t> open_;
+  std::set<uint64_t> open_requests_;
   std::map<uint64_t, int> runs_of_request_;
-  std::set<uint64_t> poisons_;
-  std::vector<TimePoint> poison_ends_;
+  std::set<uint64_t> poison_requests_;
+  std::vector<TimePoint> poison_crashes_;
   std::map<std::string, TimePoint> starting_until_;  // Crashed engines.
   uint64_t request_count_ = 0;
   uint64_t publish_count_ = 0;
   uint64_t next_incarnation_ = 1;
   uint64_t dispatched_ = 0;
-  bool log_down_ = false;
-  Duration log_extra_{0};
+  bool is_log_down_ = false;
+  Duration log_extra_delay_{0};
   int lose_append_answers_ = 0;
   double order_loss_ = 0;
-  double order_doubling_ = 0;
-  Duration order_late_{0};
+  double order_duplication_ = 0;
+  Duration order_delay_{0};
   double peer_loss_ = 0;
   double flakiness_ = 0;
-  std::set<std::string> cut_;
-  std::set<std::string> broken_;
+  std::set<std::string> partitioned_;
+  std::set<std::string> violations_;
   std::map<std::string, LogOffset> versions_seen_;
-  ReplicaBoundsTable truth_bounds_;
-  LogOffset truth_version_ = 0;
+  ReplicaBoundsTable newest_bounds_;
+  LogOffset newest_version_ = 0;
 };
 
 }  // namespace applehall
--- a/standins/fake_counted_engine.cc
+++ b/standins/fake_counted_engine.cc
@@ -5,26 +5,26 @@
 namespace applehall {
 
 void FakeCountedEngine::Hold(const std::string& model, uint64_t bytes) {
-  held_[model] = {"", bytes};
+  loaded_[model] = {"", bytes};
   on_disk_[model] = true;
 }
 
 uint64_t FakeCountedEngine::UsedBytes() const {
   uint64_t bytes = 0;
-  for (const auto& [name, held] : held_) bytes += held.bytes;
+  for (const auto& [name, target] : loaded_) bytes += target.bytes;
   return bytes;
 }
 
-int FakeCountedEngine::Adapters() const {
+int FakeCountedEngine::AdapterCount() const {
   return static_cast<int>(std::count_if(
-      held_.begin(), held_.end(),
+      loaded_.begin(), loaded_.end(),
       [](const auto& item) { return !item.second.base.empty(); }));
 }
 
 void FakeCountedEngine::Restart(TimePoint now) {
-  held_.clear();
-  open_.reset();
-  accepted_ = 0;
+  loaded_.clear();
+  running_order_.reset();
+  accepted_orders_ = 0;
   highest_token_ = 0;
   started_at_ = now;
 }
@@ -32,62 +32,62 @@
 OrderResult FakeCountedEngine::Take(const EngineOrder& order, TimePoint now) {
   if (order.fence.token < highest_token_) return OrderResult::kStaleFence;
   highest_token_ = order.fence.token;
-  if (open_) return OrderResult::kBusy;
-  if (order.after_orders && *order.after_orders != accepted_) {
+  if (running_order_) return OrderResult::kBusy;
+  if (order.after_orders && *order.after_orders != accepted_orders_) {
     return OrderResult::kBusy;
   }
-  if (!order.base.empty()) return TakeAdapter(order);
+  if (!order.base.empty()) return ExecuteAdapterOrder(order);
   const bool is_load = order.kind == OrderKind::kLoad;
   if (is_load == Holds(order.name)) return OrderResult::kDone;
-  Duration takes = unload_time;
+  Duration duration = unload_time;
   if (is_load) {
-    takes = on_disk_.contains(order.name) ? load_from_disk : load_from_store;
+    duration = on_disk_.contains(order.name) ? load_from_disk : load_from_store;
     if (UsedBytes() + order.bytes > memory_bytes_) was_overcommitted_ = true;
     ++model_loads_;
   }
-  ++accepted_;
-  open_ = Open{order, now + takes};
+  ++accepted_orders_;
+  running_order_ = RunningOrder{order, now + duration};
   return OrderResult::kAccepted;
 }
 
-OrderResult FakeCountedEngine::TakeAdapter(const EngineOrder& order) {
+OrderResult FakeCountedEngine::ExecuteAdapterOrder(const EngineOrder& order) {
   if (order.kind == OrderKind::kUnload) {
-    if (held_.erase(order.name) > 0) ++accepted_;
+    if (loaded_.erase(order.name) > 0) ++accepted_orders_;
     return OrderResult::kDone;
   }
   if (!Holds(order.base)) return OrderResult::kNoBase;
   if (Holds(order.name)) return OrderResult::kDone;
-  if (Adapters() >= adapter_slots_) was_overcommitted_ = true;
-  held_[order.name] = {order.base, order.bytes};
-  ++accepted_;
+  if (AdapterCount() >= adapter_slots_) was_overcommitted_ = true;
+  loaded_[order.name] = {order.base, order.bytes};
+  ++accepted_orders_;
   return OrderResult::kAccepted;
 }
 
 void FakeCountedEngine::Advance(TimePoint now) {
-  if (!open_ || open_->ends > now) return;
-  const EngineOrder& order = open_->order;
+  if (!running_order_ || running_order_->ends > now) return;
+  const EngineOrder& order = running_order_->order;
   if (order.kind == OrderKind::kLoad) {
     Hold(order.name, order.bytes);
   } else {
-    held_.erase(order.name);
-    std::erase_if(held_, [&](const auto& item) {
+    loaded_.erase(order.name);
+    std::erase_if(loaded_, [&](const auto& item) {
       return item.second.base == order.name;
     });
   }
-  open_.reset();
+  running_order_.reset();
 }
 
 Inventory FakeCountedEngine::Report() const {
   Inventory inventory;
   inventory.engine = id_;
   inventory.started_at = started_at_;
-  inventory.accepted_orders = accepted_;
-  inventory.is_busy = open_.has_value();
-  for (const auto& [name, held] : held_) {
+  inventory.accepted_orders = accepted_orders_;
+  inventory.is_busy = running_order_.has_value();
+  for (const auto& [name, target] : loaded_) {
     Replica replica;
     replica.name = name;
-    replica.base = held.base;
-    replica.bytes = held.bytes;
+    replica.base = target.base;
+    replica.bytes = target.bytes;
     inventory.replicas.push_back(replica);
   }
   return inventory;
@@ -102,8 +102,8 @@
   server.data_centre = "hall";
   server.slots = 64;
   server.is_engine = true;
-  for (const auto& [name, held] : held_) {
-    if (held.base.empty()) server.models[name] = {};
+  for (const auto& [name, target] : loaded_) {
+    if (target.base.empty()) server.models[name] = {};
   }
   for (const auto& [name, is_there] : on_disk_) server.on_disk.push_back(name);
   return server;
--- a/standins/fake_counted_engine.h
+++ b/standins/fake_counted_engine.h
@@ -30,7 +30,7 @@
   // Adds a loaded model without an order, with a copy on disk.
   void Hold(const std::string& model, uint64_t bytes);
   // Removes a model without an order; its copy on disk remains.
-  void Drop(const std::string& model) { held_.erase(model); }
+  void Drop(const std::string& model) { loaded_.erase(model); }
   OrderResult Take(const EngineOrder& order, TimePoint now);
   // Restarts the engine under its id: memory and counts are reset, the copies
   // on disk remain.
@@ -39,33 +39,33 @@
   void Advance(TimePoint now);
   Inventory Report() const;
   ListedServer Listing() const;
-  bool Holds(const std::string& name) const { return held_.contains(name); }
+  bool Holds(const std::string& name) const { return loaded_.contains(name); }
   // True if it was ordered to load more than fits, which crashes a real engine.
   bool was_overcommitted() const { return was_overcommitted_; }
   int model_loads() const { return model_loads_; }
 
  private:
-  struct Held {
+  struct LoadedTarget {
     std::string base;
     uint64_t bytes = 0;
   };
-  struct Open {
+  struct RunningOrder {
     EngineOrder order;
     TimePoint ends;
   };
 
-  OrderResult TakeAdapter(const EngineOrder& order);
+  OrderResult ExecuteAdapterOrder(const EngineOrder& order);
   uint64_t UsedBytes() const;
-  int Adapters() const;
+  int AdapterCount() const;
 
   std::string id_;
   std::string service_;
   uint64_t memory_bytes_;
   int adapter_slots_;
-  std::map<std::string, Held> held_;
+  std::map<std::string, LoadedTarget> loaded_;
   std::map<std::string, bool> on_disk_;
-  std::optional<Open> open_;
-  uint64_t accepted_ = 0;
+  std::optional<RunningOrder> running_order_;
+  uint64_t accepted_orders_ = 0;
   TimePoint started_at_;
   FencingToken highest_token_ = 0;
   bool was_overcommitted_ = false;
--- a/standins/fake_engine.cc
+++ b/standins/fake_engine.cc
@@ -5,7 +5,7 @@
 namespace applehall {
 namespace {
 
-constexpr size_t kMostResults = 64;
+constexpr size_t kMaxResults = 64;
 
 using Cache = std::vector<std::pair<std::string, uint64_t>>;
 
@@ -35,7 +35,7 @@
 FakeEngine::FakeEngine(FakeEngineSettings settings, FakeWeightStore& store)
     : settings_(std::move(settings)), store_(store) {}
 
-CheckpointTier FakeEngine::TierOf(const std::string& name) const {
+CheckpointTier FakeEngine::FindTier(const std::string& name) const {
   if (Contains(memory_cache_, name)) return CheckpointTier::kMemory;
   if (Contains(disk_cache_, name)) return CheckpointTier::kDisk;
   return CheckpointTier::kRemote;
@@ -50,41 +50,42 @@
 
 uint64_t FakeEngine::UsedBytes() const {
   uint64_t bytes = settings_.kv_bytes_per_slot * running_;
-  for (const auto& [name, slot] : slots_) bytes += slot.replica.bytes;
+  for (const auto& [name, resident] : residents_)
+    bytes += resident.replica.bytes;
   return bytes;
 }
 
-void FakeEngine::Account(Slot& slot, TimePoint now) {
-  if (now <= slot.accounted_to) return;
-  const Duration span = now - slot.accounted_to;
+void FakeEngine::Account(ResidentReplica& resident, TimePoint now) {
+  if (now <= resident.accounted_until) return;
+  const Duration span = now - resident.accounted_until;
   held_time_ += span;
-  if (slot.replica.running == 0) {
+  if (resident.replica.running == 0) {
     idle_time_ += span;
     idle_engine_seconds_ += ToSeconds(span) *
-                            static_cast<double>(slot.replica.bytes) /
+                            static_cast<double>(resident.replica.bytes) /
                             static_cast<double>(settings_.memory_bytes);
   }
-  slot.accounted_to = now;
+  resident.accounted_until = now;
 }
 
 void FakeEngine::Advance(TimePoint now) {
-  for (auto it = slots_.begin(); it != slots_.end();) {
-    Slot& slot = it->second;
-    const bool is_due =
-        slot.replica.state == ReplicaState::kLoading && slot.ready_at <= now;
-    if (is_due && slot.will_fail) {
-      results_[slot.order_id] = OrderResult::kLoadFailed;
-      it = slots_.erase(it);
+  for (auto it = residents_.begin(); it != residents_.end();) {
+    ResidentReplica& resident = it->second;
+    const bool is_due = resident.replica.state == ReplicaState::kLoading &&
+                        resident.ready_at <= now;
+    if (is_due && resident.will_fail) {
+      results_[resident.order_id] = OrderResult::kLoadFailed;
+      it = residents_.erase(it);
       continue;
     }
     if (is_due) {
-      slot.replica.state = ReplicaState::kReady;
-      slot.replica.last_used = slot.ready_at;
-      slot.accounted_to = slot.ready_at;
-      results_[slot.order_id] = OrderResult::kDone;
-      CacheCheckpoint(it->first, slot.replica.bytes);
+      resident.replica.state = ReplicaState::kReady;
+      resident.replica.last_used = resident.ready_at;
+      resident.accounted_until = resident.ready_at;
+      results_[resident.order_id] = OrderResult::kDone;
+      CacheCheckpoint(it->first, resident.replica.bytes);
     }
-    if (slot.replica.state == ReplicaState::kReady) Account(slot, now);
+    if (resident.replica.state == ReplicaState::kReady) Account(resident, now);
     ++it;
   }
 }
@@ -94,11 +95,11 @@
   OrderResult result = OrderResult::kDone;
   const auto known = results_.find(order.id);
   if (known == results_.end()) {
-    result = Obey(order, now);
+    result = ApplyOrder(order, now);
     if (order.kind != OrderKind::kInspect) {
       results_[order.id] = result;
       result_order_.push_back(order.id);
-      if (result_order_.size() > kMostResults) {
+      if (result_order_.size() > kMaxResults) {
         results_.erase(result_order_.front());
         result_order_.pop_front();
       }
@@ -110,17 +111,18 @@
   return MakeInventory(now);
 }
 
-OrderResult FakeEngine::Obey(const EngineOrder& order, TimePoint now) {
+OrderResult FakeEngine::ApplyOrder(const EngineOrder& order, TimePoint now) {
   if (order.kind == OrderKind::kInspect) {
-    if (settings_.checks_fence) highest_ = std::max(highest_, order.fence);
+    if (settings_.checks_fence)
+      highest_fence_ = std::max(highest_fence_, order.fence);
     return OrderResult::kDone;
   }
   if (settings_.checks_fence) {
     if (order.engine_incarnation != settings_.incarnation) {
       return OrderResult::kWrongIncarnation;
     }
-    if (order.fence <= highest_) return OrderResult::kStaleFence;
-    highest_ = order.fence;
+    if (order.fence <= highest_fence_) return OrderResult::kStaleFence;
+    highest_fence_ = order.fence;
   }
   return order.kind == OrderKind::kLoad ? Load(order, now) : Unload(order, now);
 }
@@ -128,50 +130,50 @@
 // Like real engines, this one does not refuse a load for lack of memory; a real
 // one would crash. The load is recorded as an overcommitment instead.
 OrderResult FakeEngine::Load(const EngineOrder& order, TimePoint now) {
-  if (slots_.contains(order.name)) return OrderResult::kDone;
+  if (residents_.contains(order.name)) return OrderResult::kDone;
   const CatalogueEntry* entry = store_.Find(order.name);
   if (entry == nullptr) return OrderResult::kUnknownModel;
   if (!entry->base.empty() && !IsReady(entry->base)) {
     return OrderResult::kNoBase;
   }
   ++loads_begun_;
-  Slot& slot = slots_[order.name];
-  slot.replica.name = order.name;
-  slot.replica.base = entry->base;
-  slot.replica.bytes = entry->bytes;
-  slot.replica.state = ReplicaState::kLoading;
-  slot.replica.last_used = now;
-  slot.order_id = order.id;
-  slot.will_fail = fail_loads_;
+  ResidentReplica& resident = residents_[order.name];
+  resident.replica.name = order.name;
+  resident.replica.base = entry->base;
+  resident.replica.bytes = entry->bytes;
+  resident.replica.state = ReplicaState::kLoading;
+  resident.replica.last_used = now;
+  resident.order_id = order.id;
+  resident.will_fail = fail_loads_;
   const auto local = [&](double rate) {
     return now + FromSeconds(static_cast<double>(entry->bytes) / rate);
   };
-  switch (TierOf(order.name)) {
+  switch (FindTier(order.name)) {
     case CheckpointTier::kMemory:
-      slot.ready_at = local(settings_.memory_bytes_per_second);
+      resident.ready_at = local(settings_.memory_bytes_per_second);
       break;
     case CheckpointTier::kDisk:
-      slot.ready_at = local(settings_.disk_bytes_per_second);
+      resident.ready_at = local(settings_.disk_bytes_per_second);
       break;
     case CheckpointTier::kRemote:
-      slot.ready_at = store_.BeginFetch(entry->bytes, now);
+      resident.ready_at = store_.BeginFetch(entry->bytes, now);
       break;
   }
   return OrderResult::kAccepted;
 }
 
 OrderResult FakeEngine::Unload(const EngineOrder& order, TimePoint now) {
-  const auto it = slots_.find(order.name);
-  if (it == slots_.end()) return OrderResult::kDone;
+  const auto it = residents_.find(order.name);
+  if (it == residents_.end()) return OrderResult::kDone;
   if (it->second.replica.running > 0 ||
       it->second.replica.state == ReplicaState::kLoading) {
     return OrderResult::kBusy;
   }
-  for (const auto& [name, slot] : slots_) {
-    if (slot.replica.base == order.name) return OrderResult::kBusy;
+  for (const auto& [name, resident] : residents_) {
+    if (resident.replica.base == order.name) return OrderResult::kBusy;
   }
   Account(it->second, now);
-  slots_.erase(it);
+  residents_.erase(it);
   ++unloads_done_;
   return OrderResult::kDone;
 }
@@ -181,15 +183,15 @@
   inventory.engine = settings_.name;
   inventory.incarnation = settings_.incarnation;
   inventory.sequence = ++inventory_sequence_;
-  inventory.highest_fence = highest_;
+  inventory.highest_fence = highest_fence_;
   inventory.memory_bytes = settings_.memory_bytes;
   inventory.kv_reserved_bytes = settings_.kv_bytes_per_slot * settings_.slots;
   inventory.slots = settings_.slots;
   for (const auto& [when, count] : running_history_) {
     if (when + settings_.report_lag <= now) inventory.running = count;
   }
-  for (const auto& [name, slot] : slots_) {
-    inventory.replicas.push_back(slot.replica);
+  for (const auto& [name, resident] : residents_) {
+    inventory.replicas.push_back(resident.replica);
   }
   inventory.results = results_;
   for (const auto& [name, bytes] : disk_cache_) {
@@ -207,11 +209,11 @@
   if (!IsReady(target)) return StartResult::kModelAbsent;
   if (running_ >= settings_.slots) return StartResult::kFull;
   ++running_;
-  Slot& slot = slots_.at(target);
-  ++slot.replica.running;
-  slot.replica.last_used = now;
-  const auto base = slots_.find(slot.replica.base);
-  if (base != slots_.end()) {
+  ResidentReplica& resident = residents_.at(target);
+  ++resident.replica.running;
+  resident.replica.last_used = now;
+  const auto base = residents_.find(resident.replica.base);
+  if (base != residents_.end()) {
     ++base->second.replica.running;
     base->second.replica.last_used = now;
   }
@@ -230,37 +232,38 @@
   Advance(now);
   running_ = std::max(0, running_ - 1);
   running_history_.emplace_back(now, running_);
-  const auto it = slots_.find(target);
-  if (it == slots_.end()) return;
-  const auto end_use = [now](Slot& slot) {
-    slot.replica.running = std::max(0, slot.replica.running - 1);
-    slot.replica.last_used = now;
+  const auto it = residents_.find(target);
+  if (it == residents_.end()) return;
+  const auto end_use = [now](ResidentReplica& resident) {
+    resident.replica.running = std::max(0, resident.replica.running - 1);
+    resident.replica.last_used = now;
   };
   end_use(it->second);
-  const auto base = slots_.find(it->second.replica.base);
-  if (base != slots_.end()) end_use(base->second);
+  const auto base = residents_.find(it->second.replica.base);
+  if (base != residents_.end()) end_use(base->second);
 }
 
 void FakeEngine::Restart(TimePoint now) {
   Advance(now);
-  slots_.clear();
+  residents_.clear();
   results_.clear();
   result_order_.clear();
   running_ = 0;
   running_history_.clear();
   inventory_sequence_ = 0;
-  highest_ = {};
+  highest_fence_ = {};
   ++settings_.incarnation;
 }
 
 bool FakeEngine::IsReady(const std::string& target) const {
-  const auto it = slots_.find(target);
-  return it != slots_.end() && it->second.replica.state == ReplicaState::kReady;
+  const auto it = residents_.find(target);
+  return it != residents_.end() &&
+         it->second.replica.state == ReplicaState::kReady;
 }
 
 std::vector<std::string> FakeEngine::Resident() const {
   std::vector<std::string> names;
-  for (const auto& [name, slot] : slots_) names.push_back(name);
+  for (const auto& [name, resident] : residents_) names.push_back(name);
   return names;
 }
 
--- a/standins/fake_engine.h
+++ b/standins/fake_engine.h
@@ -67,27 +67,27 @@
   Duration held_time() const { return held_time_; }
 
  private:
-  struct Slot {
+  struct ResidentReplica {
     Replica replica;
     TimePoint ready_at;
     bool will_fail = false;
     std::string order_id;
-    TimePoint accounted_to;
+    TimePoint accounted_until;
   };
 
-  OrderResult Obey(const EngineOrder& order, TimePoint now);
+  OrderResult ApplyOrder(const EngineOrder& order, TimePoint now);
   OrderResult Load(const EngineOrder& order, TimePoint now);
   OrderResult Unload(const EngineOrder& order, TimePoint now);
   Inventory MakeInventory(TimePoint now);
   uint64_t UsedBytes() const;
-  void Account(Slot& slot, TimePoint now);
-  CheckpointTier TierOf(const std::string& name) const;
+  void Account(ResidentReplica& resident, TimePoint now);
+  CheckpointTier FindTier(const std::string& name) const;
   void CacheCheckpoint(const std::string& name, uint64_t bytes);
 
   FakeEngineSettings settings_;
   FakeWeightStore& store_;
-  std::map<std::string, Slot> slots_;
-  Fence highest_;
+  std::map<std::string, ResidentReplica> residents_;
+  Fence highest_fence_;
   std::map<std::string, OrderResult> results_;
   std::deque<std::string> result_order_;
   uint64_t inventory_sequence_ = 0;
--- a/standins/fake_log.cc
+++ b/standins/fake_log.cc
@@ -22,8 +22,8 @@
   return offset;
 }
 
-LogBatch FakeLog::Read(const std::string& stream, LogOffset from, size_t most,
-                       TimePoint now) {
+LogBatch FakeLog::Read(const std::string& stream, LogOffset from,
+                       size_t max_records, TimePoint now) {
   Stream& entry = streams_[stream];
   Expire(entry, now);
   LogBatch batch;
@@ -32,7 +32,8 @@
   batch.next_offset = entry.first + entry.records.size();
   const LogOffset start = std::max(from, entry.first);
   for (LogOffset offset = start;
-       offset < batch.next_offset && batch.records.size() < most; ++offset) {
+       offset < batch.next_offset && batch.records.size() < max_records;
+       ++offset) {
     batch.records.push_back(entry.records[offset - entry.first]);
   }
   return batch;
--- a/standins/fake_log.h
+++ b/standins/fake_log.h
@@ -17,7 +17,7 @@
 
   LogOffset Append(const std::string& stream, const std::string& payload,
                    TimePoint now);
-  LogBatch Read(const std::string& stream, LogOffset from, size_t most,
+  LogBatch Read(const std::string& stream, LogOffset from, size_t max_records,
                 TimePoint now);
   // Number of appends so far.
   uint64_t append_count() const { return append_count_; }
--- a/standins/fake_weight_store.cc
+++ b/standins/fake_weight_store.cc
@@ -23,17 +23,18 @@
 
 TimePoint FakeWeightStore::BeginFetch(uint64_t bytes, TimePoint now) {
   ++fetch_count_;
-  const TimePoint start = std::max(now, next_start_);
+  const TimePoint start = std::max(now, next_fetch_at_);
   total_wait_ += start - now;
-  next_start_ = start + FromSeconds(1.0 / loads_per_second_);
-  active_.erase(active_.begin(), active_.upper_bound(start));
+  next_fetch_at_ = start + FromSeconds(1.0 / loads_per_second_);
+  active_fetches_.erase(active_fetches_.begin(),
+                        active_fetches_.upper_bound(start));
   const double crowding =
-      std::max(1.0, static_cast<double>(active_.size() + 1) /
+      std::max(1.0, static_cast<double>(active_fetches_.size() + 1) /
                         static_cast<double>(full_speed_slots_));
   const TimePoint end =
       start + FromSeconds(static_cast<double>(bytes) / slot_bytes_per_second_ *
                           crowding * slowness_);
-  active_.emplace(end, 0);
+  active_fetches_.emplace(end, 0);
   return end;
 }
 
--- a/standins/fake_weight_store.h
+++ b/standins/fake_weight_store.h
@@ -36,8 +36,8 @@
   double slot_bytes_per_second_;
   double slowness_ = 1.0;
   std::map<std::string, CatalogueEntry> catalogue_;
-  std::multimap<TimePoint, int> active_;  // Keyed by their end.
-  TimePoint next_start_;
+  std::multimap<TimePoint, int> active_fetches_;  // Keyed by their end.
+  TimePoint next_fetch_at_;
   uint64_t fetch_count_ = 0;
   Duration total_wait_{0};
 };
--- a/standins/standin_server.cc
+++ b/standins/standin_server.cc
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr size_t kMostRecordsPerRead = 500;
+constexpr size_t kMaxRecordsPerRead = 500;
 constexpr Duration kLogPoll = std::chrono::milliseconds(2);
-constexpr Duration kMostLogWait = std::chrono::seconds(10);
+constexpr Duration kMaxLogWait = std::chrono::seconds(10);
 constexpr int kDefaultTokens = 16;
 constexpr char kDataCentreHeader[] = "applehall-data-centre";
 
@@ -29,71 +29,72 @@
   return limits;
 }
 
-HttpResponse Error(int status, const std::string& message) {
+HttpResponse ErrorResponse(int status, const std::string& message) {
   return HttpResponse::JsonText(status, Json{{"error", message}}.dump());
 }
 
-HttpResponse Ok(const Json& json) {
+HttpResponse OkResponse(const Json& json) {
   return HttpResponse::JsonText(200, json.dump());
 }
 
 // JSON is built outside of the coroutines: this compiler cannot compile
 // initializer lists inside of them.
-HttpResponse CatalogueAnswer(const Catalogue& catalogue) {
+HttpResponse CatalogueResponse(const Catalogue& catalogue) {
   Json list = Json::array();
   for (const CatalogueEntry& entry : catalogue) {
     list.push_back(
         {{"name", entry.name}, {"base", entry.base}, {"bytes", entry.bytes}});
   }
-  return Ok(list);
+  return OkResponse(list);
 }
 
-HttpResponse OffsetAnswer(LogOffset offset) {
-  return Ok(Json{{"offset", offset}});
+HttpResponse OffsetResponse(LogOffset offset) {
+  return OkResponse(Json{{"offset", offset}});
 }
 
-HttpResponse BatchAnswer(const LogBatch& batch) {
+HttpResponse BatchResponse(const LogBatch& batch) {
   Json records = Json::array();
   for (const LogRecord& record : batch.records) {
     records.push_back({{"offset", record.offset},
                        {"time_ms", ToUnixMillis(record.time)},
                        {"payload", record.payload}});
   }
-  return Ok(Json{{"first_offset", batch.first_offset},
-                 {"next_offset", batch.next_offset},
-                 {"records", std::move(records)}});
+  return OkResponse(Json{{"first_offset", batch.first_offset},
+                         {"next_offset", batch.next_offset},
+                         {"records", std::move(records)}});
 }
 
-HttpResponse NotRunAnswer(int status, const std::string& reason) {
+HttpResponse NotRunResponse(int status, const std::string& reason) {
   return HttpResponse::JsonText(
       status, Json{{"verdict", "not_run"}, {"reason", reason}}.dump());
 }
 
-HttpResponse WholeCompletion(const std::string& model,
-                             const std::string& prompt, int tokens) {
-  return Ok(Json{{"object", "chat.completion"},
-                 {"model", model},
-                 {"choices",
-                  {{{"index", 0},
-                    {"finish_reason", "stop"},
-                    {"message",
-                     {{"role", "assistant"},
-                      {"content", WholeAnswer(model, prompt, tokens)}}}}}}});
+HttpResponse CompletionResponse(const std::string& model,
+                                const std::string& prompt, int tokens) {
+  return OkResponse(
+      Json{{"object", "chat.completion"},
+           {"model", model},
+           {"choices",
+            {{{"index", 0},
+              {"finish_reason", "stop"},
+              {"message",
+               {{"role", "assistant"},
+                {"content", WholeAnswer(model, prompt, tokens)}}}}}}});
 }
 
-HttpResponse ServiceAnswer(const std::string& service, const std::string& by,
-                           const HttpRequest& request) {
-  return Ok(Json{{"service", service},
-                 {"by", by},
-                 {"path", request.target},
-                 {"body", request.body}});
+HttpResponse ServiceResponse(const std::string& service, const std::string& by,
+                             const HttpRequest& request) {
+  return OkResponse(Json{{"service", service},
+                         {"by", by},
+                         {"path", request.target},
+                         {"body", request.body}});
 }
 
 HttpHeaders StreamHeaders() {
   return {{"content-type", "text/event-stream"}, {"applehall-can-resume", "1"}};
 }
 
-HostList OneHost(const Json& entry) {
+HostList SingleHostList(const Json& entry) {
   return HostList::FromJson(Json{{"hosts", Json::array({entry})}});
 }
 
@@ -123,7 +124,7 @@
   std::string name;
   std::string service;
   std::unique_ptr<HttpServer> server;
-  Duration took;
+  Duration service_time;
   std::map<std::string, int> runs;  // Keyed by idempotency key.
   uint64_t calls = 0;
 };
@@ -185,7 +186,7 @@
     auto service = std::make_unique<Service>();
     service->name = FieldOr<std::string>(item, "name", "");
     service->service = FieldOr<std::string>(item, "service", "");
-    service->took =
+    service->service_time =
         std::chrono::milliseconds(FieldOr<int64_t>(item, "took_ms", 5));
     Service& reference = *service;
     service->server = std::make_unique<HttpServer>(
@@ -216,11 +217,11 @@
   return json;
 }
 
-asio::awaitable<bool> StandinServer::PassFaults(const std::string& name,
-                                                HttpExchange& exchange) {
+asio::awaitable<bool> StandinServer::ApplyFaults(const std::string& name,
+                                                 HttpExchange& exchange) {
   const std::string from = exchange.request().Header(kDataCentreHeader);
   const Faults faults = faults_[name];
-  if (faults.is_down || faults.cut_from.contains(from)) {
+  if (faults.is_down || faults.unreachable_from.contains(from)) {
     exchange.Abort();
     co_return false;
   }
@@ -229,13 +230,14 @@
       co_await Sleep(io_, std::chrono::milliseconds(20));
     }
   }
-  if (faults.slow > Duration::zero()) co_await Sleep(io_, faults.slow);
+  if (faults.response_delay > Duration::zero())
+    co_await Sleep(io_, faults.response_delay);
   co_return !exchange.is_peer_gone();
 }
 
-asio::awaitable<void> StandinServer::Answer(const std::string& name,
-                                            HttpExchange& exchange,
-                                            HttpResponse&& response) {
+asio::awaitable<void> StandinServer::SendResponse(const std::string& name,
+                                                  HttpExchange& exchange,
+                                                  HttpResponse&& response) {
   Faults& faults = faults_[name];
   if (faults.lose_answers > 0) {
     --faults.lose_answers;
@@ -256,45 +258,46 @@
   const HttpRequest& request = exchange.request();
   const std::string path = request.Path();
   if (path == "/fault") {
-    co_await SetFault(exchange);
+    co_await HandleFault(exchange);
   } else if (path == "/truth") {
-    co_await Truth(exchange);
+    co_await HandleTruth(exchange);
   } else if (path == "/hosts" && request.method == "POST") {
-    co_await ChangeHosts(exchange);
+    co_await HandleHostChange(exchange);
   } else if (path == "/hosts") {
-    if (!co_await PassFaults("hosts", exchange)) co_return;
-    HttpResponse answer = HostsAnswer(request);
-    co_await Answer("hosts", exchange, std::move(answer));
+    if (!co_await ApplyFaults("hosts", exchange)) co_return;
+    HttpResponse answer = HostListResponse(request);
+    co_await SendResponse("hosts", exchange, std::move(answer));
   } else if (path == "/catalogue") {
-    if (!co_await PassFaults("store", exchange)) co_return;
-    co_await Answer("store", exchange, CatalogueAnswer(store_.ListCatalogue()));
+    if (!co_await ApplyFaults("store", exchange)) co_return;
+    co_await SendResponse("store", exchange,
+                          CatalogueResponse(store_.ListCatalogue()));
   } else if (path.starts_with("/log/")) {
     const std::string rest = path.substr(5);
     const std::string stream = rest.substr(0, rest.find('/'));
-    if (!co_await PassFaults("log", exchange)) co_return;
+    if (!co_await ApplyFaults("log", exchange)) co_return;
     if (rest.ends_with("/append")) {
-      co_await AppendToLog(exchange, stream);
+      co_await HandleLogAppend(exchange, stream);
     } else {
-      co_await ReadLog(exchange, stream);
+      co_await HandleLogRead(exchange, stream);
     }
   } else {
-    co_await exchange.Respond(Error(404, "no such path"));
+    co_await exchange.Respond(ErrorResponse(404, "no such path"));
   }
 }
 
-asio::awaitable<void> StandinServer::AppendToLog(HttpExchange& exchange,
-                                                 const std::string& stream) {
+asio::awaitable<void> StandinServer::HandleLogAppend(
+    HttpExchange& exchange, const std::string& stream) {
   const std::string& body = exchange.request().body;
   const LogOffset offset = log_.Append(stream, body, Now());
   if (faults_["log"].duplicate > 0) {
     --faults_["log"].duplicate;
     log_.Append(stream, body, Now());
   }
-  co_await Answer("log", exchange, OffsetAnswer(offset));
+  co_await SendResponse("log", exchange, OffsetResponse(offset));
 }
 
-asio::awaitable<void> StandinServer::ReadLog(HttpExchange& exchange,
-                                             const std::string& stream) {
+asio::awaitable<void> StandinServer::HandleLogRead(HttpExchange& exchange,
+                                                   const std::string& stream) {
   const HttpRequest& request = exchange.request();
   uint64_t from = 1;
   int64_t wait_ms = 0;
@@ -302,24 +305,24 @@
   (void)absl::SimpleAtoi(request.QueryParameter("wait_ms"), &wait_ms);
   const TimePoint until =
       Now() +
-      std::min<Duration>(std::chrono::milliseconds(wait_ms), kMostLogWait);
-  LogBatch batch = log_.Read(stream, from, kMostRecordsPerRead, Now());
+      std::min<Duration>(std::chrono::milliseconds(wait_ms), kMaxLogWait);
+  LogBatch batch = log_.Read(stream, from, kMaxRecordsPerRead, Now());
   while (batch.records.empty() && Now() < until && !exchange.is_peer_gone()) {
     co_await Sleep(io_, kLogPoll);
     if (faults_["log"].is_down) {
       exchange.Abort();
       co_return;
     }
-    batch = log_.Read(stream, from, kMostRecordsPerRead, Now());
+    batch = log_.Read(stream, from, kMaxRecordsPerRead, Now());
   }
-  co_await Answer("log", exchange, BatchAnswer(batch));
+  co_await SendResponse("log", exchange, BatchResponse(batch));
 }
 
-HostList StandinServer::ListedHosts() {
+HostList StandinServer::VisibleHostList() {
   const TimePoint as_of = Now() - host_list_lag_;
   while (history_.size() > 1 && history_[1].first <= as_of) {
     history_.pop_front();
-    ++dropped_history_;
+    ++history_version_;
   }
   HostList list;
   list.as_of = as_of;
@@ -329,8 +332,8 @@
   return list;
 }
 
-HttpResponse StandinServer::HostsAnswer(const HttpRequest& request) {
-  HostList list = ListedHosts();
+HttpResponse StandinServer::HostListResponse(const HttpRequest& request) {
+  HostList list = VisibleHostList();
   const std::string near = request.QueryParameter("near");
   if (!near.empty()) {
     // Engines of other data centres are left out.
@@ -338,8 +341,8 @@
       return entry.kind == HostKind::kEngine && entry.data_centre != near;
     });
   }
-  const std::string tag = absl::StrCat("\"", dropped_history_, "\"");
-  HttpResponse answer = Ok(Json::object());
+  const std::string tag = absl::StrCat("\"", history_version_, "\"");
+  HttpResponse answer = OkResponse(Json::object());
   if (request.Header("if-none-match") == tag) {
     answer.status = 304;
     answer.body.clear();
@@ -355,14 +358,14 @@
 // {"put": {entry}} adds or replaces an entry, {"leave": name} marks it as
 // leaving, {"remove": name} removes it, {"restart": engine} starts the engine's
 // next incarnation.
-asio::awaitable<void> StandinServer::ChangeHosts(HttpExchange& exchange) {
+asio::awaitable<void> StandinServer::HandleHostChange(HttpExchange& exchange) {
   const absl::StatusOr<Json> body = ParseJson(exchange.request().body);
   if (!body.ok() || !body->is_object()) {
-    co_await exchange.Respond(Error(400, "expected a JSON object"));
+    co_await exchange.Respond(ErrorResponse(400, "expected a JSON object"));
     co_return;
   }
   if (body->contains("put")) {
-    const HostList one = OneHost((*body)["put"]);
+    const HostList one = SingleHostList((*body)["put"]);
     for (const HostEntry& entry : one.hosts) hosts_[entry.name] = entry;
   }
   const std::string leaving = FieldOr<std::string>(*body, "leave", "");
@@ -375,10 +378,10 @@
     hosts_[restarted].incarnation = engine->fake.settings().incarnation;
   }
   history_.emplace_back(Now(), hosts_);
-  co_await exchange.Respond(Ok(Json::object()));
+  co_await exchange.Respond(OkResponse(Json::object()));
 }
 
-asio::awaitable<void> StandinServer::SetFault(HttpExchange& exchange) {
+asio::awaitable<void> StandinServer::HandleFault(HttpExchange& exchange) {
   const absl::StatusOr<Json> body = ParseJson(exchange.request().body);
   const std::string target =
       body.ok() ? FieldOr<std::string>(*body, "target", "") : "";
@@ -386,7 +389,7 @@
       body.ok() ? FieldOr<std::string>(*body, "kind", "") : "";
   if (target.empty() || kind.empty()) {
     co_await exchange.Respond(
-        Error(400, "a fault needs \"target\" and \"kind\""));
+        ErrorResponse(400, "a fault needs \"target\" and \"kind\""));
     co_return;
   }
   Faults& faults = faults_[target];
@@ -397,7 +400,7 @@
   const std::string from = FieldOr<std::string>(*body, "data_centre", "");
   bool is_known = true;
   if (kind == "slow") {
-    faults.slow = on ? span : Duration{0};
+    faults.response_delay = on ? span : Duration{0};
     if (target == "store") {
       store_.SetSlowness(on ? FieldOr<double>(*body, "factor", 4.0) : 1.0);
     }
@@ -414,7 +417,8 @@
   } else if (kind == "break_stream") {
     faults.break_streams = count;
   } else if (kind == "partition") {
-    on ? (void)faults.cut_from.insert(from) : (void)faults.cut_from.erase(from);
+    on ? (void)faults.unreachable_from.insert(from)
+       : (void)faults.unreachable_from.erase(from);
   } else if (kind == "report_lag") {
     for (auto& engine : engines_) engine->fake.SetReportLag(span);
   } else if (kind == "fail_loads") {
@@ -426,8 +430,8 @@
   } else {
     is_known = false;
   }
-  HttpResponse answer =
-      is_known ? Ok(Json::object()) : Error(400, "unknown kind of fault");
+  HttpResponse answer = is_known ? OkResponse(Json::object())
+                                 : ErrorResponse(400, "unknown kind of fault");
   co_await exchange.Respond(std::move(answer));
 }
 
@@ -440,7 +444,7 @@
     }
   }
   for (const auto& [name, count] : now) {
-    most_replicas_[name] = std::max(most_replicas_[name], count);
+    peak_replicas_[name] = std::max(peak_replicas_[name], count);
   }
 }
 
@@ -451,7 +455,7 @@
             {"store_wait_ms", ToMillis(store_.total_wait())},
             {"engines", Json::object()},
             {"services", Json::object()},
-            {"most_replicas", most_replicas_}};
+            {"most_replicas", peak_replicas_}};
   for (const auto& engine : engines_) {
     const FakeEngine& fake = engine->fake;
     json["engines"][fake.settings().name] =
@@ -468,18 +472,19 @@
              {"held_seconds", ToSeconds(fake.held_time())}};
   }
   for (const auto& service : services_) {
-    int most = 0;
-    for (const auto& [key, runs] : service->runs) most = std::max(most, runs);
+    int max_runs = 0;
+    for (const auto& [key, runs] : service->runs)
+      max_runs = std::max(max_runs, runs);
     json["services"][service->name] = Json{{"service", service->service},
                                            {"calls", service->calls},
                                            {"runs", service->runs},
-                                           {"most_runs_of_a_key", most}};
+                                           {"most_runs_of_a_key", max_runs}};
   }
   return json;
 }
 
-asio::awaitable<void> StandinServer::Truth(HttpExchange& exchange) {
-  co_await exchange.Respond(Ok(TruthJson()));
+asio::awaitable<void> StandinServer::HandleTruth(HttpExchange& exchange) {
+  co_await exchange.Respond(OkResponse(TruthJson()));
 }
 
 // ---- Engines ----
@@ -487,12 +492,12 @@
 asio::awaitable<void> StandinServer::HandleEngine(Engine& engine,
                                                   HttpExchange& exchange) {
   const std::string& name = engine.fake.settings().name;
-  if (!co_await PassFaults(name, exchange)) co_return;
+  if (!co_await ApplyFaults(name, exchange)) co_return;
   const std::string path = exchange.request().Path();
   if (path == "/orders") {
     const absl::StatusOr<Json> body = ParseJson(exchange.request().body);
     if (!body.ok()) {
-      co_await exchange.Respond(Error(400, "expected a JSON order"));
+      co_await exchange.Respond(ErrorResponse(400, "expected a JSON order"));
       co_return;
     }
     const EngineOrder order = EngineOrder::FromJson(*body);
@@ -502,22 +507,22 @@
       inventory = engine.fake.TakeOrder(order, Now());
     }
     CountReplicas();
-    co_await Answer(name, exchange, Ok(inventory.ToJson(Now())));
+    co_await SendResponse(name, exchange, OkResponse(inventory.ToJson(Now())));
     co_return;
   }
   if (path == "/v1/chat/completions" || path == "/v1/completions") {
-    co_await Complete(engine, exchange);
+    co_await HandleCompletion(engine, exchange);
     co_return;
   }
-  co_await exchange.Respond(Error(404, "no such path"));
+  co_await exchange.Respond(ErrorResponse(404, "no such path"));
 }
 
-asio::awaitable<void> StandinServer::Complete(Engine& engine,
-                                              HttpExchange& exchange) {
+asio::awaitable<void> StandinServer::HandleCompletion(Engine& engine,
+                                                      HttpExchange& exchange) {
   const std::string name = engine.fake.settings().name;
   const absl::StatusOr<Json> body = ParseJson(exchange.request().body);
   if (!body.ok()) {
-    co_await exchange.Respond(Error(400, "expected JSON"));
+    co_await exchange.Respond(ErrorResponse(400, "expected JSON"));
     co_return;
   }
   const std::string model = FieldOr<std::string>(*body, "model", "");
@@ -529,29 +534,29 @@
   const FakeEngine::StartResult start = engine.fake.StartRequest(model, Now());
   if (start != FakeEngine::StartResult::kStarted) {
     const bool is_absent = start == FakeEngine::StartResult::kModelAbsent;
-    HttpResponse refusal = is_absent ? NotRunAnswer(404, "model_absent")
-                                     : NotRunAnswer(429, "full");
-    co_await Answer(name, exchange, std::move(refusal));
+    HttpResponse refusal = is_absent ? NotRunResponse(404, "model_absent")
+                                     : NotRunResponse(429, "full");
+    co_await SendResponse(name, exchange, std::move(refusal));
     co_return;
   }
   ++engine.requests_begun;
   co_await Sleep(io_, engine.first_token);
   if (FieldOr<bool>(*body, "stream", false)) {
-    co_await StreamAnswer(engine, exchange, model, prompt, tokens, resume_from);
+    co_await StreamCompletion(engine, exchange, model, prompt, tokens,
+                              resume_from);
     engine.fake.EndRequest(model, Now());
     co_return;
   }
   co_await Sleep(io_, engine.per_token * tokens);
   engine.fake.EndRequest(model, Now());
   ++engine.requests_done;
-  co_await Answer(name, exchange, WholeCompletion(model, prompt, tokens));
+  co_await SendResponse(name, exchange,
+                        CompletionResponse(model, prompt, tokens));
 }
 
-asio::awaitable<void> StandinServer::StreamAnswer(Engine& engine,
-                                                  HttpExchange& exchange,
-                                                  const std::string& model,
-                                                  const std::string& prompt,
-                                                  int tokens, int resume_from) {
+asio::awaitable<void> StandinServer::StreamCompletion(
+    Engine& engine, HttpExchange& exchange, const std::string& model,
+    const std::string& prompt, int tokens, int resume_from) {
   const std::string name = engine.fake.settings().name;
   Faults& faults = faults_[name];
   int break_at = -1;
@@ -578,14 +583,14 @@
 
 asio::awaitable<void> StandinServer::HandleService(Service& service,
                                                    HttpExchange& exchange) {
-  if (!co_await PassFaults(service.name, exchange)) co_return;
+  if (!co_await ApplyFaults(service.name, exchange)) co_return;
   const std::string key = exchange.request().Header("idempotency-key");
   ++service.calls;
   if (!key.empty()) ++service.runs[key];
-  co_await Sleep(io_, service.took);
-  co_await Answer(
+  co_await Sleep(io_, service.service_time);
+  co_await SendResponse(
       service.name, exchange,
-      ServiceAnswer(service.service, service.name, exchange.request()));
+      ServiceResponse(service.service, service.name, exchange.request()));
 }
 
 }  // namespace applehall
--- a/standins/standin_server.h
+++ b/standins/standin_server.h
@@ -39,26 +39,26 @@
   Reply HandleEngine(Engine& engine, HttpExchange& exchange);
   Reply HandleService(Service& service, HttpExchange& exchange);
 
-  Reply AppendToLog(HttpExchange& exchange, const std::string& stream);
-  Reply ReadLog(HttpExchange& exchange, const std::string& stream);
-  Reply ChangeHosts(HttpExchange& exchange);
-  Reply SetFault(HttpExchange& exchange);
-  Reply Truth(HttpExchange& exchange);
-  Reply Complete(Engine& engine, HttpExchange& exchange);
-  Reply StreamAnswer(Engine& engine, HttpExchange& exchange,
-                     const std::string& model, const std::string& prompt,
-                     int tokens, int resume_from);
+  Reply HandleLogAppend(HttpExchange& exchange, const std::string& stream);
+  Reply HandleLogRead(HttpExchange& exchange, const std::string& stream);
+  Reply HandleHostChange(HttpExchange& exchange);
+  Reply HandleFault(HttpExchange& exchange);
+  Reply HandleTruth(HttpExchange& exchange);
+  Reply HandleCompletion(Engine& engine, HttpExchange& exchange);
+  Reply StreamCompletion(Engine& engine, HttpExchange& exchange,
+                         const std::string& model, const std::string& prompt,
+                         int tokens, int resume_from);
 
   // Applies the faults of `name`: delays the request or closes its connection.
   // Returns false if the request must not be handled.
-  boost::asio::awaitable<bool> PassFaults(const std::string& name,
-                                          HttpExchange& exchange);
+  boost::asio::awaitable<bool> ApplyFaults(const std::string& name,
+                                           HttpExchange& exchange);
   // Sends the response, unless a fault loses or delays it.
-  Reply Answer(const std::string& name, HttpExchange& exchange,
-               HttpResponse&& response);
-  HostList ListedHosts();
+  Reply SendResponse(const std::string& name, HttpExchange& exchange,
+                     HttpResponse&& response);
+  HostList VisibleHostList();
   // Returns the host list for one data centre; status 304 if the client has it.
-  HttpResponse HostsAnswer(const HttpRequest& request);
+  HttpResponse HostListResponse(const HttpRequest& request);
   TimePoint Now() const { return clock_.Now(); }
   Json TruthJson();
   void CountReplicas();
@@ -71,14 +71,14 @@
   // Versions of the host list, shown only after the configured lag.
   std::deque<std::pair<TimePoint, std::map<std::string, HostEntry>>> history_;
   Duration host_list_lag_;
-  uint64_t dropped_history_ = 0;
+  uint64_t history_version_ = 0;
   FaultTable faults_;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::vector<std::unique_ptr<Service>> services_;
   std::unique_ptr<HttpServer> platform_;
   std::string ip_;
   // Highest number of simultaneous replicas by "DATA CENTRE/TARGET".
-  std::map<std::string, int> most_replicas_;
+  std::map<std::string, int> peak_replicas_;
 };
 
 }  // namespace applehall
