--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -153,8 +153,6 @@
   CheckOpenRequests();
 }
 
-// ---- Hosts ----
-
 void Deployment::Post(const std::string& name, uint64_t epoch, Event event) {
   const auto it = hosts_.find(name);
   if (it == hosts_.end()) return;
@@ -211,12 +209,11 @@
     const LogBatch batch = log_.Read(stream, from, kMaxRead, now_);
     from = std::max(from, batch.first_offset);
     if (!batch.records.empty()) from = batch.records.back().offset + 1;
-    After(settings_.log_delay + log_extra_delay_, [=, this] {
+    After(settings_.log_delay + log_lag_, [=, this] {
       if (!is_log_down_) Post(name, epoch, LogRead{batch});
     });
   }
-  After(std::max(settings_.tick, settings_.log_delay + log_extra_delay_),
-        again);
+  After(std::max(settings_.tick, settings_.log_delay + log_lag_), again);
 }
 
 HostList Deployment::VisibleHostList() const {
@@ -262,8 +259,6 @@
   return base + FromSeconds(ToSeconds(base) * random_.Unit());
 }
 
-// ---- Actions ----
-
 void Deployment::Perform(Host& host, Action action) {
   std::visit([&](const auto& a) { Execute(host, a); }, action);
 }
@@ -296,7 +291,7 @@
     });
     return;
   }
-  After(settings_.log_delay + log_extra_delay_, [=, this] {
+  After(settings_.log_delay + log_lag_, [=, this] {
     if (is_log_down_) {
       Post(name, epoch, LogFailed{});
       Post(name, epoch, AppendEnded{action.record_id, false});
@@ -319,12 +314,11 @@
     return;
   }
   if (order_loss_ > 0 && random_.Unit() < order_loss_) return;
-  const Duration late = FromSeconds(ToSeconds(order_delay_) * random_.Unit());
+  const Duration late = FromSeconds(ToSeconds(order_lag_) * random_.Unit());
   After(Delay(name, action.engine) + late,
         [=, this] { DeliverOrder(name, epoch, action); });
-  if (order_duplication_ > 0 && random_.Unit() < order_duplication_) {
-    const Duration later =
-        FromSeconds(ToSeconds(order_delay_) * random_.Unit());
+  if (order_repeats_ > 0 && random_.Unit() < order_repeats_) {
+    const Duration later = FromSeconds(ToSeconds(order_lag_) * random_.Unit());
     After(Delay(name, action.engine) + later,
           [=, this] { DeliverOrder(name, epoch, action); });
   }
@@ -340,7 +334,7 @@
   if (action.order.kind != OrderKind::kInspect) CheckEngines();
   // Answers are lost and delayed at the same rates as orders.
   if (order_loss_ > 0 && random_.Unit() < order_loss_) return;
-  const Duration late = FromSeconds(ToSeconds(order_delay_) * random_.Unit());
+  const Duration late = FromSeconds(ToSeconds(order_lag_) * random_.Unit());
   After(Delay(host, action.engine) + late, [=, this] {
     // Ages are relative in the wire format, so times shift by the delay.
     Post(host, epoch,
@@ -537,8 +531,6 @@
   host.is_alive = false;
 }
 
-// ---- Requests ----
-
 void Deployment::Deliver(const std::string& name, RequestArrived event,
                          Origin origin) {
   const auto it = hosts_.find(name);
@@ -670,8 +662,6 @@
   }
 }
 
-// ---- Failures ----
-
 void Deployment::KillHost(const std::string& name) {
   Host& host = *hosts_.at(name);
   host.is_alive = false;
@@ -735,8 +725,8 @@
 
 void Deployment::SetOrderFaults(double loss, double repeats, Duration late) {
   order_loss_ = loss;
-  order_duplication_ = repeats;
-  order_delay_ = late;
+  order_repeats_ = repeats;
+  order_lag_ = late;
 }
 
 void Deployment::CutDataCentre(const std::string& name, bool cut) {
@@ -777,8 +767,6 @@
   return id;
 }
 
-// ---- Queries ----
-
 std::vector<std::string> Deployment::HostNames() const {
   std::vector<std::string> names;
   for (const auto& [name, host] : hosts_) names.push_back(name);
--- a/standins/deployment.h
+++ b/standins/deployment.h
@@ -100,7 +100,7 @@
   void ListGone(const std::string& name);
   void SetLogDown(bool down) { is_log_down_ = down; }
   // Adds `extra` to the latency of log reads and appends.
-  void SetLogSlow(Duration extra) { log_extra_delay_ = extra; }
+  void SetLogSlow(Duration extra) { log_lag_ = extra; }
   // Multiplies the time of weight store fetches.
   void SetStoreSlow(double factor) { store_.SetSlowness(factor); }
   void SetReportLag(Duration lag);
@@ -251,11 +251,11 @@
   uint64_t next_incarnation_ = 1;
   uint64_t dispatched_ = 0;
   bool is_log_down_ = false;
-  Duration log_extra_delay_{0};
+  Duration log_lag_{0};
   int lose_append_answers_ = 0;
   double order_loss_ = 0;
-  double order_duplication_ = 0;
-  Duration order_delay_{0};
+  double order_repeats_ = 0;
+  Duration order_lag_{0};
   double peer_loss_ = 0;
   double flakiness_ = 0;
   std::set<std::string> partitioned_;
