--- a/soak/platform_standin.cc
+++ b/soak/platform_standin.cc
@@ -332,10 +332,9 @@
 void PlatformStandin::AddServerHeaders(const std::string& id,
                                        HttpHeaders& headers) const {
   headers[kServerHeader] = id;
-  const auto announced = limits_.find(id);
-  if (announced == limits_.end() || !announced->second.back().per_second)
-    return;
-  headers[kLimitHeader] = absl::StrCat(*announced->second.back().per_second);
+  const auto found = limits_.find(id);
+  if (found == limits_.end() || !found->second.back().per_second) return;
+  headers[kLimitHeader] = absl::StrCat(*found->second.back().per_second);
 }
 
 asio::awaitable<void> PlatformStandin::ServeServer(std::string id,
