--- a/soak/soak.cc
+++ b/soak/soak.cc
@@ -243,10 +243,9 @@
     if (sent == sent_requests_.end()) continue;
     const int host = sent->second.host;
     const auto received = limit_received_at_.find({host, server});
-    const bool knows_limit = received != limit_received_at_.end() &&
-                             arrival.at >= received->second + kLimitGrace;
-    if (knows_limit && !IsExcused(host, arrival.at))
-      times.push_back(arrival.at);
+    const bool is_known = received != limit_received_at_.end() &&
+                          arrival.at >= received->second + kLimitGrace;
+    if (is_known && !IsExcused(host, arrival.at)) times.push_back(arrival.at);
   }
   return times;
 }
