--- a/soak/platform_standin.h
+++ b/soak/platform_standin.h
@@ -117,8 +117,8 @@
   Awaitable<void> CrashOnPoison(std::string id, std::string attempt,
                                 std::string body);
   Awaitable<void> ServeStream(std::string id, HttpExchange& exchange);
-  void TakeOrder(Server& server, const HttpRequest& request,
-                 HttpResponse& response);
+  void HandleOrder(Server& server, const HttpRequest& request,
+                   HttpResponse& response);
   void AppendRecord(const std::string& topic, const std::string& key,
                     const std::string& value);
   void PublishEntry(const std::string& id);
--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -330,7 +330,7 @@
   if (it == engines_.end() || failing_engines_.contains(action.engine)) return;
   if (IsCut(host, action.engine)) return;
   const TimePoint asked_at = now_;
-  const Inventory inventory = it->second->TakeOrder(action.order, now_);
+  const Inventory inventory = it->second->HandleOrder(action.order, now_);
   if (action.order.kind != OrderKind::kInspect) CheckEngines();
   // Answers are lost and delayed at the same rates as orders.
   if (order_loss_ > 0 && random_.Unit() < order_loss_) return;
@@ -648,13 +648,13 @@
     return;
   }
   RequestOutcome& outcome = outcomes_.at(origin.request);
-  ++outcome.answers;
+  ++outcome.answer_count;
   outcome.is_answered = answered;
   outcome.refusal = refusal;
   outcome.rule = rule;
   outcome.ended_at = now_;
   open_requests_.erase(origin.request);
-  if (outcome.answers > 1) Report("a request was answered more than once");
+  if (outcome.answer_count > 1) Report("a request was answered more than once");
   if (!answered && refusal.verdict == Verdict::kNotRun &&
       runs_of_request_[origin.request] > 0) {
     Report(absl::StrCat("refused as \"not run\" but executed: request ",
@@ -669,7 +669,7 @@
   for (const auto& [handle, origin] : host.origins) {
     if (origin.from_host.empty()) {
       open_requests_.erase(origin.request);
-      outcomes_[origin.request].answers = 1;
+      outcomes_[origin.request].answer_count = 1;
       outcomes_[origin.request].refusal = {
           Verdict::kMayHaveRun, RefusalReason::kBackendFailed, "host died", {}};
       outcomes_[origin.request].ended_at = now_;
@@ -682,7 +682,7 @@
   host.origins.clear();
 }
 
-void Deployment::ReviveHost(const std::string& name) {
+void Deployment::RestartHost(const std::string& name) {
   const std::string centre = hosts_.at(name)->data_centre;
   hosts_.erase(name);
   StartHost(name, centre);
@@ -709,12 +709,12 @@
   Post(name, hosts_.at(name)->epoch, DrainRequested{});
 }
 
-void Deployment::ListLeaving(const std::string& name) {
+void Deployment::MarkLeaving(const std::string& name) {
   listed_[name].is_leaving = true;
   RecordHistory();
 }
 
-void Deployment::ListGone(const std::string& name) {
+void Deployment::RemoveFromHostList(const std::string& name) {
   listed_.erase(name);
   RecordHistory();
 }
@@ -729,7 +729,7 @@
   order_lag_ = late;
 }
 
-void Deployment::CutDataCentre(const std::string& name, bool cut) {
+void Deployment::PartitionDataCentre(const std::string& name, bool cut) {
   if (cut) {
     partitioned_.insert(name);
   } else {
@@ -737,7 +737,7 @@
   }
 }
 
-void Deployment::FailEngine(const std::string& name, bool failing) {
+void Deployment::SetEngineFailing(const std::string& name, bool failing) {
   if (failing) {
     failing_engines_.insert(name);
   } else {
@@ -745,7 +745,7 @@
   }
 }
 
-void Deployment::FailServices(bool failing) {
+void Deployment::SetServicesFailing(bool failing) {
   for (auto& [name, service] : services_) service.is_failing = failing;
 }
 
@@ -755,7 +755,7 @@
   RecordHistory();
 }
 
-void Deployment::FailLoads(bool fail) {
+void Deployment::SetLoadsFailing(bool fail) {
   for (auto& [name, engine] : engines_) engine->SetFailLoads(fail);
 }
 
@@ -790,7 +790,7 @@
   return runs;
 }
 
-uint64_t Deployment::loads_decided() const {
+uint64_t Deployment::total_loads() const {
   uint64_t loads = 0;
   for (const auto& [name, engine] : engines_) loads += engine->loads_begun();
   return loads;
@@ -810,8 +810,8 @@
   return total;
 }
 
-bool Deployment::IsWarm(const std::string& host,
-                        const std::string& model) const {
+bool Deployment::HasReadyReplica(const std::string& host,
+                                 const std::string& model) const {
   const std::string centre = hosts_.at(host)->data_centre;
   return std::any_of(engines_.begin(), engines_.end(), [&](const auto& entry) {
     return entry.second->settings().data_centre == centre &&
@@ -840,7 +840,7 @@
   std::map<std::string, int> replicas;
   for (const auto& [name, engine] : engines_) {
     if (engine->was_overcommitted()) Report("overcommitted: " + name);
-    for (const std::string& model : engine->Resident()) {
+    for (const std::string& model : engine->ResidentTargets()) {
       ++replicas[absl::StrCat(engine->settings().data_centre, "/", model)];
     }
   }
--- a/standins/deployment.h
+++ b/standins/deployment.h
@@ -45,7 +45,7 @@
 
 // Outcome of one request as its caller observed it.
 struct RequestOutcome {
-  int answers = 0;  // Must be exactly 1 in the end.
+  int answer_count = 0;  // Must be exactly 1 in the end.
   bool is_answered = false;
   Refusal refusal;
   TimePoint sent_at;
@@ -90,35 +90,35 @@
   // Failures. Each lasts until it is reset.
   void KillHost(const std::string& host);
   // Starts the host again as a new incarnation.
-  void ReviveHost(const std::string& host);
+  void RestartHost(const std::string& host);
   void PauseHost(const std::string& host);
   void ResumeHost(const std::string& host);
   void DrainHost(const std::string& host);
   // Marks a host or backend server as leaving in the platform's host list, or
   // removes it from the list.
-  void ListLeaving(const std::string& name);
-  void ListGone(const std::string& name);
-  void SetLogDown(bool down) { is_log_down_ = down; }
+  void MarkLeaving(const std::string& name);
+  void RemoveFromHostList(const std::string& name);
+  void SetLogUnavailable(bool down) { is_log_down_ = down; }
   // Adds `extra` to the latency of log reads and appends.
-  void SetLogSlow(Duration extra) { log_lag_ = extra; }
+  void SetLogDelay(Duration extra) { log_lag_ = extra; }
   // Multiplies the time of weight store fetches.
-  void SetStoreSlow(double factor) { store_.SetSlowness(factor); }
+  void SetStoreSlowdown(double factor) { store_.SetSlowness(factor); }
   void SetReportLag(Duration lag);
   // The next `count` appends take effect, but report a failure.
-  void LoseAppendAnswers(int count) { lose_append_answers_ = count; }
+  void LoseAppendResponses(int count) { lose_append_answers_ = count; }
   // Loses and repeats these shares of the engine orders, and delays orders and
   // their answers by up to `late`.
   void SetOrderFaults(double loss, double repeats, Duration late);
   // Cuts the network between a data centre and all others, log and host list
   // included.
-  void CutDataCentre(const std::string& name, bool cut);
-  void FailEngine(const std::string& name, bool failing);
+  void PartitionDataCentre(const std::string& name, bool cut);
+  void SetEngineFailing(const std::string& name, bool failing);
   // Engines fail this share of the requests that they started.
   void SetEngineFlakiness(double share) { flakiness_ = share; }
   // Services execute calls, but fail before they answer.
-  void FailServices(bool failing);
+  void SetServicesFailing(bool failing);
   void RestartEngine(const std::string& name);
-  void FailLoads(bool fail);
+  void SetLoadsFailing(bool fail);
   // Drops this share of the messages between hosts.
   void SetPeerLoss(double share) { peer_loss_ = share; }
 
@@ -141,15 +141,17 @@
   int RunsOfKey(const std::string& key) const;
   uint64_t dispatched() const { return dispatched_; }
   // Times at which poison requests crashed engines, ascending.
-  const std::vector<TimePoint>& poison_ends() const { return poison_crashes_; }
-  uint64_t loads_decided() const;
+  const std::vector<TimePoint>& poison_crashes() const {
+    return poison_crashes_;
+  }
+  uint64_t total_loads() const;
   // Invariants violated so far, with details; checked after each step against
   // the state of the fakes, not against the nodes' own tables.
-  const std::set<std::string>& broken_promises() const { return violations_; }
+  const std::set<std::string>& violations() const { return violations_; }
   Duration idle_time() const;
   double idle_engine_seconds() const;
   // True if a replica of `model` is ready in the data centre of `host`.
-  bool IsWarm(const std::string& host, const std::string& model) const;
+  bool HasReadyReplica(const std::string& host, const std::string& model) const;
   Duration held_time() const;
 
  private:
--- a/standins/fake_counted_engine.h
+++ b/standins/fake_counted_engine.h
@@ -28,18 +28,20 @@
   Duration unload_time = std::chrono::milliseconds(30);
 
   // Adds a loaded model without an order, with a copy on disk.
-  void Hold(const std::string& model, uint64_t bytes);
+  void Place(const std::string& model, uint64_t bytes);
   // Removes a model without an order; its copy on disk remains.
-  void Drop(const std::string& model) { loaded_.erase(model); }
-  OrderResult Take(const EngineOrder& order, TimePoint now);
+  void Lose(const std::string& model) { loaded_.erase(model); }
+  OrderResult Execute(const EngineOrder& order, TimePoint now);
   // Restarts the engine under its id: memory and counts are reset, the copies
   // on disk remain.
   void Restart(TimePoint now);
   // Completes the order under way if it is due. Call before each query.
   void Advance(TimePoint now);
   Inventory Report() const;
-  ListedServer Listing() const;
-  bool Holds(const std::string& name) const { return loaded_.contains(name); }
+  ListedServer ListedEntry() const;
+  bool IsLoaded(const std::string& name) const {
+    return loaded_.contains(name);
+  }
   // True if it was ordered to load more than fits, which crashes a real engine.
   bool was_overcommitted() const { return was_overcommitted_; }
   int model_loads() const { return model_loads_; }
--- a/standins/fake_engine.cc
+++ b/standins/fake_engine.cc
@@ -90,7 +90,7 @@
   }
 }
 
-Inventory FakeEngine::TakeOrder(const EngineOrder& order, TimePoint now) {
+Inventory FakeEngine::HandleOrder(const EngineOrder& order, TimePoint now) {
   Advance(now);
   OrderResult result = OrderResult::kDone;
   const auto known = results_.find(order.id);
@@ -261,7 +261,7 @@
          it->second.replica.state == ReplicaState::kReady;
 }
 
-std::vector<std::string> FakeEngine::Resident() const {
+std::vector<std::string> FakeEngine::ResidentTargets() const {
   std::vector<std::string> names;
   for (const auto& [name, resident] : residents_) names.push_back(name);
   return names;
--- a/standins/fake_engine.h
+++ b/standins/fake_engine.h
@@ -34,7 +34,7 @@
   FakeEngine(FakeEngineSettings settings, FakeWeightStore& store);
 
   // Executes or refuses an order and returns the inventory. Not thread-safe.
-  Inventory TakeOrder(const EngineOrder& order, TimePoint now);
+  Inventory HandleOrder(const EngineOrder& order, TimePoint now);
 
   enum class StartResult : uint8_t { kStarted, kModelAbsent, kFull };
   // Starts / ends a request for `target`. Not thread-safe.
@@ -52,7 +52,7 @@
   bool IsReady(const std::string& target) const;
   int running() const { return running_; }
   // Names of the targets in memory, those that are loading included.
-  std::vector<std::string> Resident() const;
+  std::vector<std::string> ResidentTargets() const;
 
   // ---- Ground truth for tests ----
 
