--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -197,7 +197,7 @@
     return;
   }
   if (is_log_down_ || partitioned_.contains(host.data_centre)) {
-    Post(name, epoch, LogFailed{});
+    Post(name, epoch, LogUnavailable{});
     After(kLogRetry, again);
     return;
   }
@@ -210,7 +210,7 @@
     from = std::max(from, batch.first_offset);
     if (!batch.records.empty()) from = batch.records.back().offset + 1;
     After(settings_.log_delay + log_lag_, [=, this] {
-      if (!is_log_down_) Post(name, epoch, LogRead{batch});
+      if (!is_log_down_) Post(name, epoch, LogBatchRead{batch});
     });
   }
   After(std::max(settings_.tick, settings_.log_delay + log_lag_), again);
@@ -286,14 +286,14 @@
   const uint64_t epoch = host.epoch;
   if (partitioned_.contains(host.data_centre)) {
     After(kLogRetry, [=, this] {
-      Post(name, epoch, LogFailed{});
+      Post(name, epoch, LogUnavailable{});
       Post(name, epoch, AppendEnded{action.record_id, false});
     });
     return;
   }
   After(settings_.log_delay + log_lag_, [=, this] {
     if (is_log_down_) {
-      Post(name, epoch, LogFailed{});
+      Post(name, epoch, LogUnavailable{});
       Post(name, epoch, AppendEnded{action.record_id, false});
       return;
     }
@@ -338,8 +338,8 @@
   After(Delay(host, action.engine) + late, [=, this] {
     // Ages are relative in the wire format, so times shift by the delay.
     Post(host, epoch,
-         EngineAnswered{Inventory::FromJson(inventory.ToJson(asked_at), now_),
-                        asked_at});
+         InventoryReceived{
+             Inventory::FromJson(inventory.ToJson(asked_at), now_), asked_at});
   });
 }
 
@@ -624,7 +624,7 @@
       const RequestHandle handle = it->first;
       host->origins.erase(it);
       open_requests_.erase(request);
-      Post(name, host->epoch, CallerGone{handle});
+      Post(name, host->epoch, CallerDisconnected{handle});
       return;
     }
   }
--- a/standins/deployment.h
+++ b/standins/deployment.h
@@ -198,8 +198,8 @@
   // fleets; these hosts place models by groups.
   void Execute(Host&, const ReadLease&) {}
   void Execute(Host&, const AppendLease&) {}
-  void Execute(Host&, const FollowStore&) {}
-  void Execute(Host&, const TakeStoreNews&) {}
+  void Execute(Host&, const SetStorePolling&) {}
+  void Execute(Host&, const ApplyStoreUpdates&) {}
   void Execute(Host&, const ReadQuarantine&) {}
   void Execute(Host&, const AppendQuarantine&) {}
   void Execute(Host& host, const ProbeServer& action);
--- a/tests/node/node_failure_test.cc
+++ b/tests/node/node_failure_test.cc
@@ -125,7 +125,7 @@
 // The engines are full to the last byte with models that nobody calls now. A
 // request for another model waited until its deadline, because an engine with
 // nothing free at all was never emptied.
-TEST_F(NodeFailureTest, FullEnginesMakeRoom) {
+TEST_F(NodeFailureTest, FullEnginesEvictIdleModels) {
   DeploymentSettings settings = Defaults();
   settings.engines = 2;
   settings.engine_bytes = 1'400'000'000;  // Two models and the KV cache.
@@ -260,7 +260,7 @@
 // The owner dies, and the one engine that holds a model answers nobody. Its
 // successor does not know what that engine holds. The rule allows one replica;
 // loading the model elsewhere would make it two.
-TEST_F(NodeFailureTest, SilentEngineMayHoldTheModel) {
+TEST_F(NodeFailureTest, UnreachableEngineMayHoldModel) {
   Start(Defaults());
   const std::string owner = OwnerOf("north/0");
   const std::string other = OtherHost(owner);
@@ -624,7 +624,7 @@
 
 // Every load fails. Those who wait are told so, with a time to come back, and
 // are not kept until their deadline.
-TEST_F(NodeFailureTest, FailedLoadsAreToldEarly) {
+TEST_F(NodeFailureTest, FailedLoadsAreRefusedEarly) {
   Start(Defaults());
   deployment_->SetLoadsFailing(true);
   const uint64_t id =
@@ -652,7 +652,7 @@
 // One request ends each engine that begins to run it and is repeated at any
 // host. Each host counted for itself, so 12 engines had ended before the last
 // of four hosts kept it away. The log tells all of each end.
-TEST_F(NodeFailureTest, RequestThatEndsEnginesIsKnownAtAllHosts) {
+TEST_F(NodeFailureTest, PoisonRequestIsQuarantinedAtAllHosts) {
   Start(Defaults());
   const std::vector<std::string> hosts = deployment_->HostNames();
   for (int i = 0; i < 60; ++i) {
@@ -679,7 +679,7 @@
 
 // Guards against requests that are forgotten by a host that stood still past
 // their deadline.
-TEST_F(NodeFailureTest, RequestsOfAFrozenHostEndWhenItWakes) {
+TEST_F(NodeFailureTest, RequestsOfPausedHostEndOnResume) {
   Start(Defaults());
   const std::string host = "entry-1";
   const uint64_t before = deployment_->Send(host, "model-0", "web",
--- a/tests/placement/fleet_planner_test.cc
+++ b/tests/placement/fleet_planner_test.cc
@@ -149,7 +149,7 @@
 
   bool IsReady(const std::string& target) const {
     return std::any_of(engines_.begin(), engines_.end(), [&](const auto& item) {
-      const auto ready = planner_->ReadyOn(item.first);
+      const auto ready = planner_->ReadyTargetsOf(item.first);
       return std::find(ready.begin(), ready.end(), target) != ready.end();
     });
   }
@@ -285,7 +285,7 @@
     Run(milliseconds(200));
   }
   int refused = 0;
-  for (const PlacementNote& note : planner_->TakeNotes()) {
+  for (const PlacementEvent& note : planner_->TakeEvents()) {
     if (note.event == "order_answered" && note.reason == "busy") ++refused;
   }
   EXPECT_EQ(refused, 0);
@@ -465,10 +465,10 @@
   Report(ModelName(0), 1);
   now_ += milliseconds(50);
   planner_->Decide(true, now_, orders);
-  ASSERT_FALSE(planner_->IsQuiet());
+  ASSERT_FALSE(planner_->IsIdle());
   now_ += seconds(4);
   planner_->Decide(true, now_, orders);
-  EXPECT_TRUE(planner_->IsQuiet());
+  EXPECT_TRUE(planner_->IsIdle());
 }
 
 // A model becomes popular while all engines are full. Making room takes a third
