--- a/soak/host_processes.h
+++ b/soak/host_processes.h
@@ -10,42 +10,42 @@
 
 namespace applehall {
 
-// The entry hosts of one soak, as processes of their own. Signals go only to
-// processes that were started here, by their ids. Not thread-safe.
+// Runs the entry hosts of one soak as child processes. Signals only processes
+// that it started, by their ids. Not thread-safe.
 class HostProcesses {
  public:
-  // Settings and logs go into `folder`.
+  // Writes settings and logs into `folder`.
   HostProcesses(std::string daemon, std::string folder, uint64_t seed);
-  // Kills what still runs.
+  // Kills the processes that still run.
   ~HostProcesses();
 
-  // Adds a host that talks to the store at `store`; it is not started yet.
+  // Adds a host that uses the store at `store`, without starting it.
   // Returns its index.
   int Add(const Address& store);
   void Start(int host);
   // Sends a signal if the host runs.
   void Signal(int host, int signal);
-  // Takes note of hosts that ended; true if `host` runs.
+  // Returns true if `host` runs; records its exit otherwise.
   bool IsRunning(int host);
-  // Hosts that ended without having been told to.
-  int own_ends() const { return own_ends_; }
-  Address callers(int host) const { return hosts_[host].callers; }
+  // Number of exits that no signal had requested.
+  int unexpected_exits() const { return unexpected_exits_; }
+  Address caller_address(int host) const { return hosts_[host].caller_address; }
   int count() const { return static_cast<int>(hosts_.size()); }
 
  private:
   struct Host {
     std::string name;
     std::string settings_path;
-    Address callers;
+    Address caller_address;
     pid_t process = 0;
-    bool is_told_to_end = false;
+    bool is_stop_requested = false;
   };
 
   std::string daemon_;
   std::string folder_;
   std::vector<Host> hosts_;
   uint16_t next_port_;
-  int own_ends_ = 0;
+  int unexpected_exits_ = 0;
 };
 
 }  // namespace applehall
--- a/soak/platform_standin.h
+++ b/soak/platform_standin.h
@@ -16,76 +16,78 @@
 
 namespace applehall {
 
-// What a backend server did for one request.
+// One execution of a request by a backend server.
 struct ServedRun {
   std::string server;
   TimePoint at;
 };
 
-// Requests with this at the start of their body end the server that runs them;
-// the whole body tells one such content from the others.
+// Requests whose body starts with this crash the server that executes them. The
+// complete body identifies the poison message.
 inline constexpr char kPoisonBody[] = "poison";
 
-// A request as it reached a server.
-struct AttemptSeen {
+// Arrival of a request at a server.
+struct AttemptArrival {
   std::string attempt;
   TimePoint at;
 };
 
-// A limit that a server names from `since` on; nothing: none any more.
-struct NamedLimit {
+// Request rate limit that a server announces from `since` on; nullopt: none.
+struct AnnouncedLimit {
   TimePoint since;
   std::optional<double> per_second;
 };
 
-// The server that wrote an answer, for whoever checks it.
+// Response header with the server that answered, for the soak's checks.
 inline constexpr char kServerHeader[] = "x-soak-server";
 inline constexpr char kLimitHeader[] = "server-limit";
 
-// The users' platform as far as entry hosts see it: its store, model engines
-// and plain services, over HTTP on loopback. Thread of all methods: the one
-// that runs `io`.
+// Fake of the platform: its store, model engines and plain services, over HTTP
+// on loopback. Thread of all methods: the one that runs `io`.
 class PlatformStandin {
  public:
-  enum class StoreMode : uint8_t { kUp, kRefusing, kSilent };
+  enum class StoreMode : uint8_t { kUp, kRefusing, kUnresponsive };
 
-  // Ids of servers bear `seed`: a server of a soak beside this one may get the
-  // port of one that ended here, and must not be taken for it.
+  // Server ids contain `seed`: a server of a concurrent soak may get the port
+  // of a stopped server of this one, and must not be mistaken for it.
   PlatformStandin(boost::asio::io_context& io, uint64_t seed);
 
   Address store_address() const;
   void SetStoreMode(StoreMode mode) { store_mode_ = mode; }
-  // Writes the newest configuration, with a route more for each in `extra`.
+  // Publishes a new configuration, with an additional route for each `extra`.
   void PutConfig(const std::vector<std::string>& extra);
-  // Starts a server with a new id; returns the id.
+  // Starts a server with a new id and returns the id.
   std::string StartEngine(const std::vector<std::string>& models);
   std::string StartApp();
-  // Lists it as leaving; it goes on serving until Stop().
+  // Lists the server as leaving; it serves until Stop().
   void Drain(const std::string& id);
-  // Ends it without a word, or takes it off the list.
+  // Stops the server at once; also removes it from the list if `is_delisted`.
   void Stop(const std::string& id, bool is_delisted);
-  // It names this limit in all its answers; nothing: none.
-  void NameLimit(const std::string& id, std::optional<double> per_second);
-  // Every so many-th stream breaks off in the middle; zero: none.
+  // Makes the server announce this limit in all its responses; nullopt: none.
+  void AnnounceLimit(const std::string& id, std::optional<double> per_second);
+  // Breaks off each `every`-th stream in the middle; zero: none.
   void SetBreakEvery(int every) { break_every_ = every; }
 
-  // By content, in the order of time.
-  const std::map<std::string, std::vector<AttemptSeen>>& poison_runs() const {
+  // Runs of poison messages by body, in order of time.
+  const std::map<std::string, std::vector<AttemptArrival>>& poison_runs()
+      const {
     return poison_runs_;
   }
   const std::map<std::string, std::vector<ServedRun>>& runs() const {
     return runs_;
   }
-  // By server, the limits it named and the requests that reached it, run or
-  // not, in the order of time.
-  const std::map<std::string, std::vector<NamedLimit>>& limits() const {
+  // Announced limits and arrived requests, executed or not, by server, in order
+  // of time.
+  const std::map<std::string, std::vector<AnnouncedLimit>>& limits() const {
     return limits_;
   }
-  const std::map<std::string, std::vector<AttemptSeen>>& arrivals() const {
+  const std::map<std::string, std::vector<AttemptArrival>>& arrivals() const {
     return arrivals_;
   }
-  // When a server was listed as leaving or gone.
-  const std::map<std::string, TimePoint>& left_at() const { return left_at_; }
+  // Times at which servers were listed as leaving or removed.
+  const std::map<std::string, TimePoint>& withdrawn_at() const {
+    return withdrawn_at_;
+  }
   const std::vector<std::string>& violations() const { return violations_; }
   std::vector<std::string> Servers(bool engines) const;
 
@@ -100,31 +102,32 @@
     std::string service;
     bool is_leaving = false;
     bool is_stopped = false;
-    uint64_t beat = 0;
+    uint64_t entry_sequence = 0;
   };
   template <typename T>
   using Awaitable = boost::asio::awaitable<T>;
 
   Awaitable<void> ServeStore(HttpExchange& exchange);
-  Awaitable<void> ReadNews(HttpExchange& exchange);
-  void ReadNewest(const HttpRequest& request, HttpResponse& response) const;
-  void Append(const HttpRequest& request, HttpResponse& response);
+  Awaitable<void> HandleLogRead(HttpExchange& exchange);
+  void HandleNewestRead(const HttpRequest& request,
+                        HttpResponse& response) const;
+  void HandleAppend(const HttpRequest& request, HttpResponse& response);
   Awaitable<void> ServeServer(std::string id, HttpExchange& exchange);
-  // Ends the server; another one starts at another address a moment later.
-  Awaitable<void> EndUnderPoison(std::string id, std::string attempt,
-                                 std::string body);
+  // Stops the server; later starts another one at another address.
+  Awaitable<void> CrashOnPoison(std::string id, std::string attempt,
+                                std::string body);
   Awaitable<void> ServeStream(std::string id, HttpExchange& exchange);
-  void TakeOrder(Server& server, const HttpRequest& request,
-                 HttpResponse& response);
-  void Put(const std::string& topic, const std::string& key,
-           const std::string& value);
-  void List(const std::string& id);
+  void HandleOrder(Server& server, const HttpRequest& request,
+                   HttpResponse& response);
+  void AppendRecord(const std::string& topic, const std::string& key,
+                    const std::string& value);
+  void PublishEntry(const std::string& id);
   std::string Start(std::unique_ptr<FakeCountedEngine> engine,
                     const std::string& service);
 
   std::string NextId() const;
-  // Adds what all answers of the server `id` say.
-  void Sign(const std::string& id, HttpHeaders& headers) const;
+  // Adds the headers that all responses of the server `id` have.
+  void AddServerHeaders(const std::string& id, HttpHeaders& headers) const;
 
   boost::asio::io_context& io_;
   uint64_t seed_;
@@ -134,10 +137,10 @@
   std::map<std::string, std::vector<Record>> topics_;
   std::map<std::string, std::shared_ptr<Server>> servers_;
   std::map<std::string, std::vector<ServedRun>> runs_;
-  std::map<std::string, std::vector<AttemptSeen>> poison_runs_;
-  std::map<std::string, std::vector<NamedLimit>> limits_;
-  std::map<std::string, std::vector<AttemptSeen>> arrivals_;
-  std::map<std::string, TimePoint> left_at_;
+  std::map<std::string, std::vector<AttemptArrival>> poison_runs_;
+  std::map<std::string, std::vector<AnnouncedLimit>> limits_;
+  std::map<std::string, std::vector<AttemptArrival>> arrivals_;
+  std::map<std::string, TimePoint> withdrawn_at_;
   std::vector<std::string> violations_;
   uint64_t config_version_ = 0;
   int started_ = 0;
--- a/tests/node/node_failure_test.cc
+++ b/tests/node/node_failure_test.cc
@@ -63,13 +63,13 @@
   }
 
   bool IsAnswered(uint64_t id) {
-    return deployment_->outcome(id).answers == 1 &&
+    return deployment_->outcome(id).answer_count == 1 &&
            deployment_->outcome(id).is_answered;
   }
 
   std::string Reason(uint64_t id) {
     const RequestOutcome& outcome = deployment_->outcome(id);
-    if (outcome.answers == 0) return "no outcome";
+    if (outcome.answer_count == 0) return "no outcome";
     if (outcome.is_answered) return "answered";
     return std::string(RefusalReasonName(outcome.refusal.reason)) + ": " +
            outcome.refusal.detail;
@@ -79,7 +79,7 @@
     int count = 0;
     for (const auto& [name, engine] : deployment_->engines()) {
       if (engine->settings().data_centre != data_centre) continue;
-      for (const std::string& resident : engine->Resident()) {
+      for (const std::string& resident : engine->ResidentTargets()) {
         count += resident == model;
       }
     }
@@ -90,8 +90,8 @@
 
   void TearDown() override {
     if (!deployment_) return;
-    EXPECT_TRUE(deployment_->broken_promises().empty())
-        << *deployment_->broken_promises().begin();
+    EXPECT_TRUE(deployment_->violations().empty())
+        << *deployment_->violations().begin();
   }
 
   Random random_{5};
@@ -111,7 +111,7 @@
   }
   deployment_->RunFor(seconds(20));
   for (const uint64_t id : requests) EXPECT_TRUE(IsAnswered(id)) << Reason(id);
-  EXPECT_EQ(deployment_->loads_decided(), 2u) << "one for each data centre";
+  EXPECT_EQ(deployment_->total_loads(), 2u) << "one for each data centre";
 }
 
 // An adapter is requested while neither it nor its base model is loaded.
@@ -166,11 +166,11 @@
   deployment_->RunUntil([&] { return EnginesWith("model-4", "north") == 1; },
                         seconds(5));
   deployment_->KillHost(owner);
-  deployment_->ListGone(owner);
+  deployment_->RemoveFromHostList(owner);
   deployment_->RunFor(seconds(25));
   EXPECT_EQ(OwnerOf("north/0"), other);
   EXPECT_TRUE(IsAnswered(id)) << Reason(id);
-  EXPECT_EQ(deployment_->loads_decided(), 1u);
+  EXPECT_EQ(deployment_->total_loads(), 1u);
 }
 
 // The owner is paused for 20 s, as by a VM snapshot, and another host takes
@@ -198,7 +198,7 @@
   deployment_->ResumeHost(owner);
   deployment_->RunFor(seconds(30));
   for (const uint64_t id : requests) {
-    EXPECT_EQ(deployment_->outcome(id).answers, 1);
+    EXPECT_EQ(deployment_->outcome(id).answer_count, 1);
   }
 }
 
@@ -219,7 +219,7 @@
       deployment_->Send(other, "model-7", "web", seconds(8));
   deployment_->RunFor(seconds(10));
   EXPECT_EQ(EnginesWith("model-7", "north"), 0) << "two owners at once";
-  EXPECT_EQ(deployment_->outcome(blocked).answers, 1);
+  EXPECT_EQ(deployment_->outcome(blocked).answer_count, 1);
   deployment_->ResumeHost(owner);
   deployment_->RunFor(seconds(10));
   const uint64_t free = deployment_->Send(other, "model-7");
@@ -253,8 +253,8 @@
     deployment_->Send(other, "model-3");
     deployment_->Send(other, "model-4");
     deployment_->RunFor(seconds(20));
-    ASSERT_TRUE(deployment_->broken_promises().empty())
-        << *deployment_->broken_promises().begin();
+    ASSERT_TRUE(deployment_->violations().empty())
+        << *deployment_->violations().begin();
   }
 }
 
@@ -271,11 +271,11 @@
   for (const auto& [name, engine] : deployment_->engines()) {
     if (engine->settings().data_centre == "north" &&
         engine->IsReady("model-1")) {
-      deployment_->FailEngine(name, true);
+      deployment_->SetEngineFailing(name, true);
     }
   }
   deployment_->KillHost(owner);
-  deployment_->ListGone(owner);
+  deployment_->RemoveFromHostList(owner);
   deployment_->RunFor(seconds(10));
   ASSERT_EQ(OwnerOf("north/0"), other);
   for (int i = 0; i < 20; ++i) {
@@ -296,7 +296,7 @@
   const std::string owner = OwnerOf("north/0");
   const std::string other = OtherHost(owner);
   deployment_->KillHost(owner);
-  deployment_->ListGone(owner);
+  deployment_->RemoveFromHostList(owner);
   deployment_->RunFor(seconds(30));
   const uint64_t id = deployment_->Send(other, "model-7");
   deployment_->RunFor(seconds(10));
@@ -308,7 +308,7 @@
 // true reason.
 TEST_F(NodeFailureTest, LogDownServesModelsAndRefusesDoors) {
   Start(Defaults());
-  deployment_->SetLogDown(true);
+  deployment_->SetLogUnavailable(true);
   deployment_->RunFor(seconds(5));
   const uint64_t cold = deployment_->Send("entry-1", "model-5");
   const uint64_t door = deployment_->CallService("entry-2", "doors", NewKey());
@@ -317,7 +317,7 @@
             "log_unavailable: the log that guards this request is down");
   deployment_->RunFor(minutes(10));
   EXPECT_TRUE(IsAnswered(cold)) << Reason(cold);
-  deployment_->SetLogDown(false);
+  deployment_->SetLogUnavailable(false);
   deployment_->RunFor(seconds(3));
   const uint64_t again = deployment_->CallService("entry-2", "doors", NewKey());
   deployment_->RunFor(seconds(3));
@@ -332,10 +332,10 @@
   const std::string key = NewKey();
   const uint64_t door = deployment_->CallService("entry-1", "doors", key);
   deployment_->RunFor(milliseconds(9));
-  deployment_->SetLogDown(true);
+  deployment_->SetLogUnavailable(true);
   deployment_->RunFor(seconds(20));
   EXPECT_FALSE(IsAnswered(door));
-  deployment_->SetLogDown(false);
+  deployment_->SetLogUnavailable(false);
   deployment_->RunFor(seconds(5));
   EXPECT_EQ(deployment_->RunsOfKey(key), 0);
   const uint64_t again = deployment_->CallService("entry-3", "doors", key);
@@ -364,13 +364,13 @@
 // receive "not run".
 TEST_F(NodeFailureTest, BrokenCallThatMayNotRepeatIsNotRetried) {
   Start(Defaults());
-  deployment_->FailServices(true);
+  deployment_->SetServicesFailing(true);
   const std::string key = NewKey();
   const uint64_t id = deployment_->CallService("entry-1", "doors", key);
   deployment_->RunFor(seconds(5));
   EXPECT_EQ(deployment_->RunsOfKey(key), 1);
   EXPECT_EQ(deployment_->outcome(id).refusal.verdict, Verdict::kMayHaveRun);
-  deployment_->FailServices(false);
+  deployment_->SetServicesFailing(false);
   const uint64_t again = deployment_->CallService("entry-2", "doors", key);
   deployment_->RunFor(seconds(5));
   EXPECT_EQ(deployment_->outcome(again).refusal.reason,
@@ -382,7 +382,7 @@
 // meanwhile once it is reconnected.
 TEST_F(NodeFailureTest, CutDataCentreServesAndCatchesUp) {
   Start(Defaults());
-  deployment_->CutDataCentre("south", true);
+  deployment_->PartitionDataCentre("south", true);
   deployment_->RunFor(seconds(5));
   deployment_->Publish(
       TestRules("second"),
@@ -402,7 +402,7 @@
                 .current()
                 ->set.name,
             "test");
-  deployment_->CutDataCentre("south", false);
+  deployment_->PartitionDataCentre("south", false);
   deployment_->RunFor(seconds(6));
   EXPECT_EQ(deployment_->node("entry-3")
                 .context()
@@ -437,9 +437,9 @@
 // get the rules in force from its peers.
 TEST_F(NodeFailureTest, NewHostGetsRulesFromPeersWhileLogIsDown) {
   Start(Defaults());
-  deployment_->SetLogDown(true);
+  deployment_->SetLogUnavailable(true);
   deployment_->KillHost("entry-2");
-  deployment_->ReviveHost("entry-2");
+  deployment_->RestartHost("entry-2");
   deployment_->RunFor(seconds(10));
   EXPECT_TRUE(deployment_->node("entry-2").IsReady());
   EXPECT_EQ(deployment_->node("entry-2").context().control.rules().version(),
@@ -461,7 +461,7 @@
   for (const char* host : {"entry-1", "entry-2"}) {
     deployment_->KillHost(host);
   }
-  deployment_->ReviveHost("entry-1");
+  deployment_->RestartHost("entry-1");
   deployment_->RunFor(seconds(30));
   EXPECT_EQ(deployment_->node("entry-1").context().control.rules().version(),
             version);
@@ -480,7 +480,7 @@
   }
   deployment_->RunFor(seconds(20));
   for (const char* engine : {"engine-1", "engine-2", "engine-3", "engine-4"}) {
-    deployment_->FailEngine(engine, true);
+    deployment_->SetEngineFailing(engine, true);
   }
   const uint64_t before = deployment_->dispatched();
   uint64_t sent = 0;
@@ -531,7 +531,7 @@
   deployment_->RunFor(seconds(40));
   EXPECT_FALSE(deployment_->IsAlive(owner)) << "the drain does not end";
   for (const uint64_t id : requests) {
-    EXPECT_EQ(deployment_->outcome(id).answers, 1) << Reason(id);
+    EXPECT_EQ(deployment_->outcome(id).answer_count, 1) << Reason(id);
     EXPECT_TRUE(IsAnswered(id)) << Reason(id);
   }
   EXPECT_EQ(deployment_->outcome(late).refusal.reason,
@@ -553,7 +553,7 @@
       holder = name;
     }
   }
-  deployment_->ListLeaving(holder);
+  deployment_->MarkLeaving(holder);
   deployment_->RunFor(seconds(3));
   std::vector<uint64_t> requests;
   for (int i = 0; i < 20; ++i) {
@@ -581,7 +581,7 @@
   deployment_->RunFor(seconds(60));
   int answered = 0;
   for (const uint64_t id : requests) {
-    EXPECT_EQ(deployment_->outcome(id).answers, 1);
+    EXPECT_EQ(deployment_->outcome(id).answer_count, 1);
     answered += IsAnswered(id);
   }
   EXPECT_GT(answered, 30);
@@ -625,11 +625,11 @@
 // being kept until their deadline.
 TEST_F(NodeFailureTest, FailedLoadsAreRefusedEarly) {
   Start(Defaults());
-  deployment_->FailLoads(true);
+  deployment_->SetLoadsFailing(true);
   const uint64_t id =
       deployment_->Send("entry-1", "model-2", "web", seconds(9));
   deployment_->RunFor(seconds(8));
-  EXPECT_EQ(deployment_->outcome(id).answers, 1);
+  EXPECT_EQ(deployment_->outcome(id).answer_count, 1);
   EXPECT_EQ(deployment_->outcome(id).refusal.verdict, Verdict::kNotRun);
   EXPECT_GT(deployment_->outcome(id).refusal.retry_after, Duration::zero());
 }
@@ -658,22 +658,22 @@
     deployment_->SendPoison(hosts[i % hosts.size()], "model-0");
     deployment_->RunFor(seconds(1));
   }
-  ASSERT_GE(deployment_->poison_ends().size(), 3u);
-  const TimePoint agreed = deployment_->poison_ends()[2] + seconds(3);
-  const auto repeats = std::count_if(deployment_->poison_ends().begin(),
-                                     deployment_->poison_ends().end(),
+  ASSERT_GE(deployment_->poison_crashes().size(), 3u);
+  const TimePoint agreed = deployment_->poison_crashes()[2] + seconds(3);
+  const auto repeats = std::count_if(deployment_->poison_crashes().begin(),
+                                     deployment_->poison_crashes().end(),
                                      [&](TimePoint at) { return at > agreed; });
-  EXPECT_LE(repeats, 3) << deployment_->poison_ends().size();
+  EXPECT_LE(repeats, 3) << deployment_->poison_crashes().size();
   // A host that starts from a snapshot refuses it as well.
   deployment_->KillHost(hosts[0]);
-  deployment_->ReviveHost(hosts[0]);
+  deployment_->RestartHost(hosts[0]);
   AwaitReady();
-  const size_t ends = deployment_->poison_ends().size();
+  const size_t ends = deployment_->poison_crashes().size();
   const uint64_t id = deployment_->SendPoison(hosts[0], "model-0");
   deployment_->RunFor(seconds(5));
   EXPECT_TRUE(Reason(id).starts_with("quarantined")) << Reason(id);
-  EXPECT_EQ(deployment_->poison_ends().size(), ends);
-  EXPECT_TRUE(deployment_->broken_promises().empty());
+  EXPECT_EQ(deployment_->poison_crashes().size(), ends);
+  EXPECT_TRUE(deployment_->violations().empty());
 }
 
 // Guards against requests that are never answered by a host that was paused
@@ -687,13 +687,13 @@
   const uint64_t meanwhile =
       deployment_->Send(host, "model-1", "web", seconds(5));
   deployment_->RunFor(minutes(5));
-  EXPECT_EQ(deployment_->outcome(before).answers, 0);
-  EXPECT_EQ(deployment_->outcome(meanwhile).answers, 0);
+  EXPECT_EQ(deployment_->outcome(before).answer_count, 0);
+  EXPECT_EQ(deployment_->outcome(meanwhile).answer_count, 0);
   deployment_->ResumeHost(host);
   deployment_->RunFor(milliseconds(100));
-  EXPECT_EQ(deployment_->outcome(before).answers, 1);
+  EXPECT_EQ(deployment_->outcome(before).answer_count, 1);
   deployment_->RunFor(seconds(5) + milliseconds(100));
-  EXPECT_EQ(deployment_->outcome(meanwhile).answers, 1);
+  EXPECT_EQ(deployment_->outcome(meanwhile).answer_count, 1);
 }
 
 }  // namespace
--- a/tests/placement/fleet_planner_test.cc
+++ b/tests/placement/fleet_planner_test.cc
@@ -58,7 +58,7 @@
 
   void UpdateListing() {
     EngineList list;
-    for (const auto& [id, engine] : engines_) list[id] = engine->Listing();
+    for (const auto& [id, engine] : engines_) list[id] = engine->ListedEntry();
     planner_->SetServers(list, now_);
   }
 
@@ -124,7 +124,7 @@
       Answer(sent, OrderResult::kUnanswered);
       return;
     }
-    const OrderResult result = engine.Take(sent.order, now_);
+    const OrderResult result = engine.Execute(sent.order, now_);
     Answer(sent,
            sample < order_loss_rate_ + order_delay_rate_ + answer_loss_rate_
                ? OrderResult::kUnanswered
@@ -138,7 +138,7 @@
   void DeliverLate() {
     std::erase_if(late_orders_, [this](const LateOrder& late) {
       if (late.arrives > now_) return false;
-      engines_.at(late.sent.engine)->Take(late.sent.order, now_);
+      engines_.at(late.sent.engine)->Execute(late.sent.order, now_);
       return true;
     });
   }
@@ -146,7 +146,7 @@
   int Replicas(const std::string& name) const {
     return static_cast<int>(std::count_if(
         engines_.begin(), engines_.end(),
-        [&](const auto& item) { return item.second->Holds(name); }));
+        [&](const auto& item) { return item.second->IsLoaded(name); }));
   }
 
   bool IsReady(const std::string& target) const {
@@ -206,21 +206,21 @@
 
 TEST_F(FleetPlannerTest, DemandedModelIsLoadedFromNearestCopy) {
   CreateEngines(3, 4);
-  engines_.at("e2")->Hold(ModelName(0), kModelBytes);
+  engines_.at("e2")->Place(ModelName(0), kModelBytes);
   UpdateListing();
   Run(milliseconds(100));
   // Unloads it; a copy remains on the disk of e2.
   EngineOrder unload;
   unload.kind = OrderKind::kUnload;
   unload.name = ModelName(0);
-  engines_.at("e2")->Take(unload, now_);
+  engines_.at("e2")->Execute(unload, now_);
   Run(seconds(12));  // Until the next idle report.
   if (!IsReady(ModelName(0))) {
     Report(ModelName(0), 1);
     Run(milliseconds(2200));
   }
   EXPECT_TRUE(IsReady(ModelName(0)));
-  EXPECT_TRUE(engines_.at("e2")->Holds(ModelName(0)));
+  EXPECT_TRUE(engines_.at("e2")->IsLoaded(ModelName(0)));
 }
 
 // Guards against waiting out the report lag after an unload: a report whose
@@ -228,7 +228,7 @@
 TEST_F(FleetPlannerTest, FirstReportThatCountsAnOrderConfirmsItsEnd) {
   CreateEngines(1, 4);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   Run(seconds(3));
   const TimePoint requested_at = now_;
   Report(ModelName(3), 1);
@@ -244,7 +244,7 @@
 TEST_F(FleetPlannerTest, SingleRareRequestDoesNotEvictBusyModels) {
   CreateEngines(1, 6);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   UpdateListing();
   for (int second = 0; second < 13; ++second) {
     for (int i = 0; i < 3; ++i) Report(ModelName(i), 0, 7);
@@ -260,7 +260,7 @@
 TEST_F(FleetPlannerTest, BusyModelsAreEvictedAfterTheirDemandEnds) {
   CreateEngines(1, 6);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   Run(seconds(3));
   for (int i = 0; i < 3; ++i) Report(ModelName(i), 0, 30);
   Run(seconds(20));
@@ -275,8 +275,8 @@
 // model load while another engine holds the same base model.
 TEST_F(FleetPlannerTest, AdaptersAreOrderedOnIdleEngine) {
   CreateEngines(2, 8, /*adapters=*/4);
-  engines_.at("e0")->Hold(ModelName(0), kModelBytes);
-  engines_.at("e1")->Hold(ModelName(0), kModelBytes);
+  engines_.at("e0")->Place(ModelName(0), kModelBytes);
+  engines_.at("e1")->Place(ModelName(0), kModelBytes);
   UpdateListing();
   Run(milliseconds(40));
   for (int a = 1; a <= 4; ++a) {
@@ -325,7 +325,7 @@
   newer.name = ModelName(3);
   newer.bytes = kModelBytes;
   newer.fence = {token_ + 1, 1};
-  engines_.at("e0")->Take(newer, now_);
+  engines_.at("e0")->Execute(newer, now_);
   Report(ModelName(0), 1);
   Run(seconds(10));
   EXPECT_TRUE(planner_->is_superseded());
@@ -341,8 +341,8 @@
 TEST_F(FleetPlannerTest, EngineBusyForEarlierOwnerIsNotOvercommitted) {
   CreateEngines(1, 6);
   FakeCountedEngine& engine = *engines_.at("e0");
-  engine.Hold(ModelName(0), kModelBytes);
-  engine.Hold(ModelName(1), kModelBytes);
+  engine.Place(ModelName(0), kModelBytes);
+  engine.Place(ModelName(1), kModelBytes);
   planner_->SetCatalogue(nullptr, &classes_);  // Nothing to load ahead.
   Run(seconds(1));
   EngineOrder earlier;
@@ -350,7 +350,7 @@
   earlier.name = ModelName(2);
   earlier.bytes = kModelBytes;
   earlier.fence = {token_ - 1, 1};
-  ASSERT_EQ(engine.Take(earlier, now_), OrderResult::kAccepted);
+  ASSERT_EQ(engine.Execute(earlier, now_), OrderResult::kAccepted);
   planner_->SetCatalogue(&catalogue_, &classes_);
   Report(ModelName(0), 1);  // A host missed the plan: requests a report.
   std::vector<OrderToSend> orders;
@@ -360,7 +360,7 @@
   Report(ModelName(3), 1);
   planner_->Decide(true, now_, orders);
   for (const OrderToSend& order : orders) {
-    if (order.order.kind == OrderKind::kLoad) engine.Take(order.order, now_);
+    if (order.order.kind == OrderKind::kLoad) engine.Execute(order.order, now_);
   }
   EXPECT_FALSE(engine.was_overcommitted());
 }
@@ -371,7 +371,7 @@
 TEST_F(FleetPlannerTest, AdaptersOfEarlierOwnerAreNotOvercommitted) {
   CreateEngines(1, 1, /*adapters=*/12);
   FakeCountedEngine& engine = *engines_.at("e0");
-  engine.Hold(ModelName(0), kModelBytes);
+  engine.Place(ModelName(0), kModelBytes);
   const auto adapter = [](int i) {
     return ModelName(0) + "/a" + std::to_string(i);
   };
@@ -382,7 +382,7 @@
     earlier.base = ModelName(0);
     earlier.bytes = 66'000'000;
     earlier.fence = {token_ - 1, 1};
-    ASSERT_EQ(engine.Take(earlier, now_), OrderResult::kAccepted);
+    ASSERT_EQ(engine.Execute(earlier, now_), OrderResult::kAccepted);
   };
   for (int i = 1; i <= 5; ++i) load_earlier(i);
   const Inventory lagging = engine.Report();
@@ -403,7 +403,7 @@
 // taken, an adapter would then take half a second instead of some ms.
 TEST_F(FleetPlannerTest, AdapterReplacesAnotherWithoutReport) {
   CreateEngines(1, 1, /*adapters=*/12);
-  engines_.at("e0")->Hold(ModelName(0), kModelBytes);
+  engines_.at("e0")->Place(ModelName(0), kModelBytes);
   Run(milliseconds(100));
   for (int i = 1; i <= 8; ++i) {
     Report(ModelName(0) + "/a" + std::to_string(i), 1, 1);
@@ -474,7 +474,7 @@
   CreateEngines(8, 24);  // All models fit, so none is loaded ahead of requests.
   int model = 0;
   for (auto& [id, engine] : engines_) {
-    for (int i = 0; i < 3; ++i) engine->Hold(ModelName(model++), kModelBytes);
+    for (int i = 0; i < 3; ++i) engine->Place(ModelName(model++), kModelBytes);
     engine->unload_time = milliseconds(340);
   }
   UpdateListing();
@@ -496,8 +496,8 @@
   CreateEngines(2, 6);
   engines_.at("e1")->Restart(now_);  // Sets its start time.
   for (int i = 0; i < 3; ++i) {
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
-    engines_.at("e1")->Hold(ModelName(i + 3), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
+    engines_.at("e1")->Place(ModelName(i + 3), kModelBytes);
   }
   UpdateListing();
   Run(seconds(3));
@@ -514,7 +514,7 @@
   for (auto& [id, engine] : engines_) engine->load_from_disk = seconds(10);
   int model = 0;
   for (auto& [id, engine] : engines_) {
-    engine->Hold(ModelName(model++), kModelBytes);
+    engine->Place(ModelName(model++), kModelBytes);
     engine->Restart(now_);
   }
   UpdateListing();
@@ -531,14 +531,14 @@
 TEST_F(FleetPlannerTest, MissingReplicasAreLoadedConcurrently) {
   CreateEngines(12, 3);
   for (auto& [id, engine] : engines_) {
-    engine->Hold(ModelName(0), kModelBytes);
-    engine->Hold(ModelName(1), kModelBytes);
+    engine->Place(ModelName(0), kModelBytes);
+    engine->Place(ModelName(1), kModelBytes);
   }
   UpdateListing();
   Run(seconds(3));
   // A copy remains on each disk.
   for (auto& [id, engine] : engines_) {
-    if (id != "e0" && id != "e1") engine->Drop(ModelName(0));
+    if (id != "e0" && id != "e1") engine->Lose(ModelName(0));
   }
   UpdateListing();
   Run(seconds(11));  // Until the next idle report.
@@ -555,7 +555,7 @@
 TEST_F(FleetPlannerTest, LoadIsSentBeforeReportOfUnload) {
   CreateEngines(1, 4);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   UpdateListing();
   Run(seconds(3));
   report_lag_ = milliseconds(300);
@@ -571,7 +571,7 @@
   CreateEngines(8, 40);
   int model = 0;
   for (auto& [id, engine] : engines_) {
-    for (int i = 0; i < 3; ++i) engine->Hold(ModelName(model++), kModelBytes);
+    for (int i = 0; i < 3; ++i) engine->Place(ModelName(model++), kModelBytes);
   }
   UpdateListing();
   Run(seconds(3));
@@ -594,7 +594,7 @@
 TEST_F(FleetPlannerTest, RefusedLoadIsRetriedWithoutOvercommit) {
   CreateEngines(1, 4);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   engines_.at("e0")->unload_time = milliseconds(700);
   UpdateListing();
   Run(seconds(3));
@@ -630,7 +630,7 @@
 // listed: no other engine would load it.
 TEST_F(FleetPlannerTest, ModelOnUnresponsiveEngineIsNotReady) {
   CreateEngines(3, 8);
-  engines_.at("e0")->Hold(ModelName(7), kModelBytes);
+  engines_.at("e0")->Place(ModelName(7), kModelBytes);
   UpdateListing();
   Run(milliseconds(500));
   ASSERT_TRUE(IsReady(ModelName(7)));
@@ -667,7 +667,7 @@
 TEST_F(FleetPlannerTest, ReportOfEarlierIncarnationIsIgnored) {
   CreateEngines(1, 4);
   engines_.at("e0")->Restart(now_);
-  engines_.at("e0")->Hold(ModelName(2), kModelBytes);
+  engines_.at("e0")->Place(ModelName(2), kModelBytes);
   UpdateListing();
   Run(milliseconds(100));
   ASSERT_TRUE(IsReady(ModelName(2)));
@@ -684,8 +684,8 @@
 // demand.
 TEST_F(FleetPlannerTest, ReplicaIsLoadedBesideRateLimitedServer) {
   CreateEngines(/*engines=*/3, /*models=*/2);
-  engines_["e0"]->Hold(ModelName(0), kModelBytes);
-  engines_["e1"]->Drop("none");
+  engines_["e0"]->Place(ModelName(0), kModelBytes);
+  engines_["e1"]->Lose("none");
   UpdateListing();
   Run(seconds(1));
   planner_->SetLimits({{"e0", 0.1}});
@@ -693,8 +693,8 @@
     Report(ModelName(0), 0, i % 4 == 0 ? 1 : 0);
     Run(milliseconds(250));
   }
-  const int holders =
-      engines_["e1"]->Holds(ModelName(0)) + engines_["e2"]->Holds(ModelName(0));
+  const int holders = engines_["e1"]->IsLoaded(ModelName(0)) +
+                      engines_["e2"]->IsLoaded(ModelName(0));
   EXPECT_GE(holders, 1);
 }
 
