--- a/tests/platform/config_intake_test.cc
+++ b/tests/platform/config_intake_test.cc
@@ -19,8 +19,8 @@
   return config ? config->rules.version : 0;
 }
 
-// Guards against an older configuration that replaces a newer one: records read
-// as news after the newest were read as a whole, or passed on late.
+// Guards against an older configuration that replaces a newer one: its record
+// was read after a full read of the newest records, or was relayed late.
 TEST(ConfigIntakeTest, OlderNeverReplacesNewer) {
   ConfigIntake intake;
   EXPECT_EQ(Taken(intake, {Version(9, 20)}), 20u);
@@ -29,8 +29,8 @@
   EXPECT_EQ(Taken(intake, {Version(8, 17), Version(10, 23)}), 23u);
 }
 
-// Guards against an invalid configuration that hides the valid one before it,
-// where both come in one read.
+// Guards against an invalid configuration that hides the valid one before it
+// in the same read.
 TEST(ConfigIntakeTest, InvalidOneDoesNotHideTheValidOneBeforeIt) {
   ConfigIntake intake;
   EXPECT_EQ(Taken(intake, {Version(1, 3), Record(2, R"({"version": 5})"),
@@ -41,7 +41,7 @@
             11u);
 }
 
-// The order of the records is that of their offsets, not of a page of keys.
+// Records of a page are sorted by key, not by offset.
 TEST(ConfigIntakeTest, OffsetsDecideWhichIsNewest) {
   ConfigIntake intake;
   EXPECT_EQ(Taken(intake, {Version(5, 11), Version(4, 8)}), 11u);
--- a/tests/platform/edge_settings_test.cc
+++ b/tests/platform/edge_settings_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr char kGood[] = R"({
-  // As the platform fills the template in.
+  // As filled in by the platform.
   "host": "edge-1", "data_centre": "hall", "ip": "10.0.0.1",
   "callers": "10.0.0.1:80", "readiness": "10.0.0.1:81",
   "store": "10.0.0.2:90", "first_port": 7000, "cpu_share": 0.25,
@@ -31,8 +31,6 @@
   EXPECT_LT(settings->node.drain_bound, std::chrono::seconds(8));
 }
 
-// Policies are switched off by name, one by one, to measure what they are
-// worth.
 TEST(EdgeSettings, PoliciesAreSwitchedOffByName) {
   const auto settings = ParseEdgeSettings(
       "node.json",
@@ -62,9 +60,10 @@
   }
 }
 
-// ---- What the platform fills in ----
+// ---- Values from the platform's template ----
 
-// As the platform fills in `{{a.b|json}}`, without its other forms.
+// Replaces `{{a.b}}` and `{{a.b|json}}` as the platform does; supports none of
+// its other template forms.
 std::string FillTemplate(std::string text, const Json& fields) {
   for (size_t begin = text.find("{{"); begin != std::string::npos;
        begin = text.find("{{", begin)) {
@@ -106,10 +105,9 @@
   return ParseEdgeSettings("node.json", FillTemplate(*file, fields));
 }
 
-// All hosts of a deployment exited at their start, again and again, and nobody
-// was served. The platform had set a fraction for one of its bounds, where the
-// reader expected a whole number; in another the fraction's digits were taken
-// for milliseconds.
+// Guards against hosts that exit at every start because the platform sets a
+// fraction where the reader expects an integer, and against a fraction whose
+// digits are read as milliseconds.
 TEST(EdgeSettings, BoundsOfThePlatformMayBeFractions) {
   Json fields = PlatformFields();
   fields["bounds"]["retry_slack"] = 52.5;
@@ -127,7 +125,7 @@
   EXPECT_EQ(settings->node.news.trust, std::chrono::milliseconds(2500));
 }
 
-// Whatever stands in one figure, hosts start, and go by sound figures.
+// Hosts must start with valid values, whatever a single bound contains.
 TEST(EdgeSettings, NoSingleBoundKeepsAHostFromStarting) {
   const Json odd[] = {Json(),      Json(-1),        Json(0),       Json(0.25),
                       Json(1e300), Json(INT64_MIN), Json("8"),     Json(true),
--- a/tests/platform/edge_test.cc
+++ b/tests/platform/edge_test.cc
@@ -1,4 +1,4 @@
-// Callers, this host's connections and servers that do wrong, over loopback.
+// Ingress and engine client over loopback, with faulty callers and servers.
 
 #include <gtest/gtest.h>
 
@@ -21,8 +21,8 @@
     "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Stamp: s\r\n"
     "Content-Length: 5\r\n\r\nhello";
 
-// One connection after the other: reads a request, sends the next of the
-// scripted texts and closes.
+// Serves one connection at a time: reads a request, sends the next scripted
+// text and closes.
 class ScriptedServer {
  public:
   explicit ScriptedServer(asio::io_context& io)
@@ -58,8 +58,8 @@
   tcp::acceptor acceptor_;
 };
 
-// A caller's connection to the ingress, the ingress and the engine client, with
-// the test in the node's place.
+// Connects a caller to the ingress and the engine client; the test takes the
+// node's place.
 class EdgeTest : public testing::Test {
  protected:
   EdgeTest()
@@ -71,7 +71,7 @@
             [this](Event event) { events_.push_back(std::move(event)); },
             [this](Duration) { ++cancels_after_close_; }) {}
 
-  // A port that the kernel gave and nobody uses.
+  // Returns a free port, chosen by the kernel.
   uint16_t UnusedPort() {
     tcp::acceptor probe(io_,
                         tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -95,7 +95,7 @@
     return nullptr;
   }
 
-  // Sends a caller's request and waits until the node would see it.
+  // Sends a caller's request and waits for its event.
   const RequestArrived& Ask(const std::string& extra = "") {
     caller_ = std::make_unique<tcp::socket>(io_);
     caller_->connect(tcp::endpoint(asio::ip::make_address("127.0.0.1"), port_));
@@ -126,7 +126,7 @@
     return *Find<AttemptEnded>();
   }
 
-  // Everything the caller got so far.
+  // Returns everything that the caller has received so far.
   std::string Received() {
     io_.run_for(std::chrono::milliseconds(20));
     io_.restart();
@@ -148,13 +148,13 @@
   EngineClient engines_;
   std::unique_ptr<tcp::socket> caller_;
   std::string received_;
-  std::optional<std::string> team_;  // Of what is dispatched.
+  std::optional<std::string> team_;  // Of the dispatched request.
   int cancels_after_close_ = 0;
 };
 
-// A caller names another team than its own, or hides the header from a proxy.
-// The engine would bill the wrong team, and the key would be the engine's to
-// misuse.
+// Guards against a caller that names another team, or hides the header behind
+// "Connection", so that the engine bills the wrong team; and against engines
+// that receive callers' keys.
 TEST_F(EdgeTest, EngineSeesTheTeamAndNeverTheKey) {
   server_.answers = {kAnswer};
   const RequestArrived& request =
@@ -184,8 +184,7 @@
   EXPECT_EQ(seen.find("secret-key"), std::string::npos) << seen;
 }
 
-// What looks like a key and is none: another scheme, none at all, two in one
-// request, one beyond all measure.
+// Another scheme, no key, two keys in one request, and a key that is too long.
 TEST_F(EdgeTest, MalformedKeysAreNoKeys) {
   const std::string longest(5000, 'k');
   for (const std::string& header :
@@ -226,10 +225,10 @@
   EXPECT_TRUE(received.ends_with("\r\n\r\nhello")) << received;
 }
 
-// A server ends with a request at work. What tells that from an answer of wrong
-// bytes is that the connection closed, and nobody listens there any more.
+// A server that exits while it runs a request closes the connection and no
+// longer listens, unlike one that answers with malformed bytes.
 TEST_F(EdgeTest, ServerThatEndsIsToldFromOneThatAnswersWrongly) {
-  server_.answers = {""};  // It closes without a word.
+  server_.answers = {""};  // Closes without a response.
   const RequestArrived& request = Ask();
   EXPECT_EQ(request.fingerprint,
             RequestFingerprint(
@@ -253,8 +252,8 @@
   EXPECT_EQ(Find<ServerProbed>()->state, ServerState::kGone);
 }
 
-// A caller sets headers that only this system may set: they would reserve
-// memory, or take over another request's.
+// Guards against callers that set headers reserved for this system: these would
+// reserve memory, or take over that of another request.
 TEST_F(EdgeTest, OwnHeadersOfACallerNeverReachAServer) {
   server_.answers = {kAnswer};
   Dispatch(Ask("X-Hold: 1\r\nX-Pin-Ms: 5\r\nX-Kv-Backup: a\r\nKv-From: b\r\n"
@@ -272,8 +271,8 @@
   EXPECT_NE(sent.find("x-request-urgency: 2\r\n"), std::string::npos) << sent;
 }
 
-// A late answer to another request stands where this one's is due. Passed on,
-// a caller would read a stranger's answer.
+// Guards against a late response to another request on the same connection
+// that is forwarded to the wrong caller.
 TEST_F(EdgeTest, AnswerToAnotherIdIsNotPassedOn) {
   server_.answers = {
       "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-0\r\nX-Server-Stamp: s\r\n"
@@ -283,8 +282,8 @@
   EXPECT_EQ(Received(), "");
 }
 
-// A server hands out bytes that are no answer, an answer without its proof, or
-// half of one. None may look like a success.
+// Malformed bytes, a response without a stamp or with an encoding, and a
+// truncated response must not count as success.
 TEST_F(EdgeTest, WrongBytesAreNoSuccess) {
   const std::string wrong[] = {
       "garbage\r\n\r\n",
@@ -317,8 +316,9 @@
   }
 }
 
-// An engine is lost in the middle of an event. The caller has whole events
-// only, and another engine goes on after the last: nothing twice, none missing.
+// An engine fails in the middle of an event. The caller must receive whole
+// events only, and the next engine must resume after the last: none is repeated
+// or missing.
 TEST_F(EdgeTest, BrokenStreamIsResumedAfterItsLastWholeEvent) {
   const std::string head =
       "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Stamp: s\r\n"
@@ -344,8 +344,8 @@
   EXPECT_TRUE(received.ends_with("0\r\n\r\n")) << received;
 }
 
-// A caller leaves while its request waits for an engine's first token. The
-// engine would work on for nobody.
+// Guards against an engine that keeps running a request whose caller has
+// disconnected before the first token.
 TEST_F(EdgeTest, CallerThatLeavesIsNoticedAndItsAttemptCancelled) {
   const RequestHandle handle = Ask().handle;
   Dispatch(handle);
@@ -356,8 +356,8 @@
   EXPECT_EQ(AwaitEnd().result, AttemptResult::kBroken);
 }
 
-// Guards against a cancel that is lost as its attempt has not begun: the server
-// would run the request for nobody.
+// Guards against a cancel that is lost because its attempt has not started yet:
+// the server would run a request without a caller.
 TEST_F(EdgeTest, CancelBeforeTheAttemptBeginsKeepsItFromTheServer) {
   server_.answers = {kAnswer};
   const RequestHandle handle = Ask().handle;
@@ -367,8 +367,8 @@
   EXPECT_TRUE(server_.requests.empty());
 }
 
-// Guards against a request that is passed on although its caller has left: the
-// close was seen here, its cancel is on the way.
+// Guards against a request that is forwarded after its caller has disconnected:
+// the close has been noticed, but the cancel has not arrived yet.
 TEST_F(EdgeTest, AttemptOfACallerThatLeftIsNotSent) {
   server_.answers = {kAnswer};
   const RequestHandle handle = Ask().handle;
@@ -399,7 +399,8 @@
   EXPECT_NE(received.find("retry-after: 1.250"), std::string::npos) << received;
 }
 
-// What may have run must not be called "not run", whatever the reason.
+// A request that may have run must not get a status or header that invites a
+// retry, whatever the reason of the refusal.
 TEST_F(EdgeTest, RefusalOfWhatMayHaveRunPromisesNothing) {
   const RequestHandle handle = Ask().handle;
   ingress_.Refuse({handle,
--- a/tests/platform/operator_config_test.cc
+++ b/tests/platform/operator_config_test.cc
@@ -74,7 +74,8 @@
   ASSERT_NE(agents, nullptr);
   EXPECT_EQ(agents->priority, -1);
   EXPECT_FALSE(agents->quota.is_limited());
-  // Rules are shown to operators and passed on between hosts.
+  // Rules are shown to operators and sent between hosts: they must not contain
+  // keys.
   EXPECT_EQ(config->rules.document.dump().find("k1"), std::string::npos);
   for (const Json& rule : config->rules.document["rules"]) {
     EXPECT_EQ(rule["then"].value("public", false), rule["name"] == "wide");
--- a/tests/platform/server_entry_test.cc
+++ b/tests/platform/server_entry_test.cc
@@ -1,5 +1,5 @@
-// Listed servers and engines' reports as the platform brings them, and what
-// becomes of those that are damaged or from another writer.
+// Parsing of server entries and engine reports, also of damaged ones and those
+// of writers of another version.
 
 #include "platform/server_entry.h"
 
@@ -55,7 +55,8 @@
   EXPECT_EQ(inventory.replicas[2].base, "llm/m");
 }
 
-// A server that starts again may keep its id; the time of its start tells.
+// A restarted server may keep its id; its start time identifies the
+// incarnation.
 TEST(ServerEntry, StartIsRead) {
   const auto server = ReadServer("i-1", *ParseJson(kEntry));
   ASSERT_TRUE(server.ok()) << server.status();
@@ -65,7 +66,7 @@
   EXPECT_EQ(report->started_at, server->started_at);
 }
 
-// Entries of other writers: each names no server to use.
+// Entries that lack a required field or have a malformed one.
 TEST(ServerEntry, UnusableOnesAreRefused) {
   const auto changed = [](const char* key, const char* value) {
     Json json = *ParseJson(kEntry);
@@ -90,7 +91,7 @@
   EXPECT_FALSE(ReadServer("i-1", changed("models", "[3]")).ok());
 }
 
-// Reports that cannot be relied on: counted as zero, orders would be repeated.
+// A missing order count must not be read as zero: orders would be repeated.
 TEST(ServerEntry, UnusableReportsAreRefused) {
   for (const char* text :
        {"[]", "{}", R"({"models": [], "busy": true})",
@@ -102,7 +103,7 @@
   }
 }
 
-// Replaces, drops or doubles one place anywhere in a document.
+// Replaces or erases one value anywhere in a document.
 Json Mutate(const Json& json, Random& random) {
   static const Json kStrange = *ParseJson(
       R"([null, true, -1, 0, 1e300, 18446744073709551615, "", "x", [], {},
@@ -121,8 +122,8 @@
   return kStrange[random.Below(kStrange.size())];
 }
 
-// Whatever stands in the store or comes from an engine, reading it neither
-// throws nor lets a server pass that cannot be addressed.
+// Whatever the store or an engine sends, parsing must neither throw nor accept
+// a server without a valid address.
 TEST(ServerEntry, ReadersEndureMutatedDocuments) {
   constexpr uint64_t kSeed = 20261203;
   SCOPED_TRACE(testing::Message() << "seed " << kSeed);
--- a/tests/platform/server_limit_header_test.cc
+++ b/tests/platform/server_limit_header_test.cc
@@ -43,8 +43,8 @@
   EXPECT_EQ(Read(std::string(400, '9')).kind, Kind::kNone);
 }
 
-// Guards against a limit that is taken for withdrawn because a proxy's error or
-// an unsigned answer does not repeat it.
+// Guards against a limit that is dropped because a proxy's error or a response
+// without a stamp does not repeat it.
 TEST(ServerLimitHeaderTest, OnlyWholeAnswersWithdrawALimit) {
   HttpResponse head;
   EXPECT_EQ(ReadServerLimit(head).kind, Kind::kUnknown);
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -1,4 +1,4 @@
-// The adapter before a store whose reads hang.
+// Store client with a store whose reads hang.
 
 #include "platform/store_client.h"
 
@@ -20,7 +20,7 @@
 constexpr char kConfig[] = "keyed.op";
 constexpr NewsBudget kBudget = NewsBudget::Within(seconds(1));
 
-// The log of the configuration, and a listing without servers.
+// Serves a log of configurations and an empty server list.
 class ScriptedStore {
  public:
   explicit ScriptedStore(asio::io_context& io)
@@ -34,7 +34,7 @@
 
   void Append(const std::string& value) { configs_.push_back(value); }
 
-  int unanswered_config_reads = 0;  // So many of the next are never answered.
+  int unanswered_config_reads = 0;  // The next reads never answered.
   int config_reads = 0;
 
  private:
@@ -132,8 +132,8 @@
                       [](const HttpServerLimits&) {}};
 };
 
-// Guards against a read of the configuration that hangs on one connection,
-// hidden by answers about other topics: a change was seen seconds late.
+// Guards against a hung read of the configuration that responses for other
+// topics hide, so that a change is applied seconds late.
 TEST_F(StoreClientTest, HungReadOfOneTopicProvesNothingAndIsRepeated) {
   store_.Append(Config(1));
   store_.unanswered_config_reads = 1;
@@ -144,13 +144,14 @@
   const int before = proofs_[kConfig];
   RunUntil([&] { return proofs_["keyed.servers"] >= 2; });
   EXPECT_EQ(version_, 1u);
-  EXPECT_EQ(proofs_[kConfig], before) << "nothing was answered about it";
+  EXPECT_EQ(proofs_[kConfig], before)
+      << "no response covered the configuration";
   RunUntil([&] { return version_ == 2; });
   EXPECT_EQ(store_.config_reads, 2);
 }
 
-// Guards against a host that reads every change it missed, and only then has
-// the one that counts.
+// Guards against a host that, after a disconnection, reads all missed changes
+// before it gets the newest.
 TEST_F(StoreClientTest, HostThatWasCutOffReadsTheNewestConfigurationAlone) {
   store_.Append(Config(1));
   store_.unanswered_config_reads = 20;
