--- a/tests/platform/edge_settings_test.cc
+++ b/tests/platform/edge_settings_test.cc
@@ -7,7 +7,7 @@
 namespace applehall {
 namespace {
 
-constexpr char kGood[] = R"({
+constexpr char kValidSettings[] = R"({
   // As filled in by the platform.
   "host": "edge-1", "data_centre": "hall", "ip": "10.0.0.1",
   "callers": "10.0.0.1:80", "readiness": "10.0.0.1:81",
@@ -16,13 +16,13 @@
   "grace_period_ms": 8000, "order_lease_ms": 3000,
   "engines_check_fences": true})";
 
-std::string Replaced(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+std::string ValidSettingsWith(const std::string& from, const std::string& to) {
+  std::string text = kValidSettings;
   return text.replace(text.find(from), from.size(), to);
 }
 
-TEST(EdgeSettings, AreRead) {
-  const auto settings = ParseEdgeSettings("node.json", kGood);
+TEST(EdgeSettings, ValidSettingsAreParsed) {
+  const auto settings = ParseEdgeSettings("node.json", kValidSettings);
   ASSERT_TRUE(settings.ok()) << settings.status().message();
   EXPECT_EQ(settings->peers.ToString(), "10.0.0.1:7000");
   EXPECT_EQ(settings->operators.ToString(), "10.0.0.1:7001");
@@ -31,10 +31,12 @@
   EXPECT_LT(settings->node.drain_bound, std::chrono::seconds(8));
 }
 
-TEST(EdgeSettings, PoliciesAreSwitchedOffByName) {
+// Each policy can be disabled on its own, to evaluate its benefit.
+TEST(EdgeSettings, PoliciesAreDisabledByName) {
   const auto settings = ParseEdgeSettings(
       "node.json",
-      Replaced("\"ip\"", "\"policies_off\": \"seeding, last_pair\", \"ip\""));
+      ValidSettingsWith("\"ip\"",
+                        "\"policies_off\": \"seeding, last_pair\", \"ip\""));
   ASSERT_TRUE(settings.ok()) << settings.status().message();
   const PolicySet& policies = settings->node.policies;
   EXPECT_FALSE(policies.Has(Policy::kSeeding));
@@ -42,17 +44,18 @@
   EXPECT_TRUE(policies.Has(Policy::kStoreRelay));
 }
 
-TEST(EdgeSettings, FaultsNameTheKey) {
-  const std::pair<std::string, std::string> faults[] = {
-      {Replaced("\"10.0.0.2:90\"", "\"store\""), "store"},
-      {Replaced("0.25", "\"much\""), "cpu_share"},
-      {Replaced("0123456789abcdef", "short"), "shared_key"},
-      {Replaced("\"host\": \"edge-1\"", "\"hots\": 1"), "host"},
-      {Replaced("8000", "-1"), "grace_period_ms"},
-      {Replaced("\"ip\"", "\"unknown_key\": 1, \"ip\""), "unknown_key"},
-      {Replaced("\"ip\"", "\"policies_off\": \"seeding,x\", \"ip\""),
+TEST(EdgeSettings, ErrorsNameTheKey) {
+  const std::pair<std::string, std::string> invalid_settings[] = {
+      {ValidSettingsWith("\"10.0.0.2:90\"", "\"store\""), "store"},
+      {ValidSettingsWith("0.25", "\"much\""), "cpu_share"},
+      {ValidSettingsWith("0123456789abcdef", "short"), "shared_key"},
+      {ValidSettingsWith("\"host\": \"edge-1\"", "\"hots\": 1"), "host"},
+      {ValidSettingsWith("8000", "-1"), "grace_period_ms"},
+      {ValidSettingsWith("\"ip\"", "\"unknown_key\": 1, \"ip\""),
+       "unknown_key"},
+      {ValidSettingsWith("\"ip\"", "\"policies_off\": \"seeding,x\", \"ip\""),
        "policies_off"}};
-  for (const auto& [text, key] : faults) {
+  for (const auto& [text, key] : invalid_settings) {
     const auto settings = ParseEdgeSettings("node.json", text);
     ASSERT_FALSE(settings.ok()) << key;
     EXPECT_NE(settings.status().message().find(key), absl::string_view::npos)
@@ -98,7 +101,7 @@
       "lease_ttl_ms": 3000, "require_fence": true, "seed_lag_s": 3}})");
 }
 
-absl::StatusOr<EdgeSettings> FromPlatform(const Json& fields) {
+absl::StatusOr<EdgeSettings> ParseFilledTemplate(const Json& fields) {
   const absl::StatusOr<std::string> file = ReadFile(
       std::string(APPLEHALL_SOURCE_DIR) + "/deploy/settings.json.tmpl");
   if (!file.ok()) return file.status();
@@ -108,7 +111,7 @@
 // Guards against hosts that exit at every start because the platform sets a
 // fraction where the reader expects an integer, and against a fraction whose
 // digits are read as milliseconds.
-TEST(EdgeSettings, BoundsOfThePlatformMayBeFractions) {
+TEST(EdgeSettings, PlatformBoundsMayBeFractions) {
   Json fields = PlatformFields();
   fields["bounds"]["retry_slack"] = 52.5;
   fields["bounds"]["grace_period_s"] = 8.5;
@@ -116,7 +119,7 @@
   fields["bounds"]["require_fence"] = false;
   fields["bounds"]["drain_ms"] = 0.5e4;
   fields["bounds"]["config_apply_ms"] = 6000.5;
-  const auto settings = FromPlatform(fields);
+  const auto settings = ParseFilledTemplate(fields);
   ASSERT_TRUE(settings.ok()) << settings.status().message();
   EXPECT_DOUBLE_EQ(settings->node.retry_slack, 52.5);
   EXPECT_GT(settings->node.drain_bound, std::chrono::seconds(7));
@@ -126,20 +129,21 @@
 }
 
 // Hosts must start with valid values, whatever a single bound contains.
-TEST(EdgeSettings, NoSingleBoundKeepsAHostFromStarting) {
-  const Json odd[] = {Json(),      Json(-1),        Json(0),       Json(0.25),
-                      Json(1e300), Json(INT64_MIN), Json("8"),     Json(true),
-                      Json(false), Json::array(),   Json::object()};
-  const std::pair<std::string, std::string> figures[] = {
+TEST(EdgeSettings, InvalidBoundDoesNotPreventStart) {
+  const Json invalid_values[] = {Json(),        Json(-1),      Json(0),
+                                 Json(0.25),    Json(1e300),   Json(INT64_MIN),
+                                 Json("8"),     Json(true),    Json(false),
+                                 Json::array(), Json::object()};
+  const std::pair<std::string, std::string> bounds[] = {
       {"bounds", "drain_ms"},       {"bounds", "config_apply_ms"},
       {"bounds", "grace_period_s"}, {"bounds", "retry_slack"},
       {"bounds", "lease_ttl_ms"},   {"bounds", "require_fence"},
       {"limits", "cpu_share"}};
-  for (const auto& [table, name] : figures) {
-    for (const Json& value : odd) {
+  for (const auto& [table, name] : bounds) {
+    for (const Json& value : invalid_values) {
       Json fields = PlatformFields();
       fields[table][name] = value;
-      const auto settings = FromPlatform(fields);
+      const auto settings = ParseFilledTemplate(fields);
       ASSERT_TRUE(settings.ok())
           << name << " " << value << ": " << settings.status().message();
       const NodeSettings& node = settings->node;
@@ -151,7 +155,7 @@
     }
     Json fields = PlatformFields();
     fields[table].erase(name);
-    EXPECT_TRUE(FromPlatform(fields).ok()) << name;
+    EXPECT_TRUE(ParseFilledTemplate(fields).ok()) << name;
   }
 }
 
--- a/tests/platform/edge_test.cc
+++ b/tests/platform/edge_test.cc
@@ -64,7 +64,7 @@
  protected:
   EdgeTest()
       : server_(io_),
-        ingress_(io_, Address{"127.0.0.1", Port()},
+        ingress_(io_, Address{"127.0.0.1", ChoosePort()},
                  [this](Event event) { events_.push_back(std::move(event)); }),
         engines_(
             io_, "edge-1",
@@ -72,12 +72,12 @@
             [this](Duration) { ++cancels_after_close_; }) {}
 
   // Returns a free port, chosen by the kernel.
-  uint16_t UnusedPort() {
+  uint16_t FindUnusedPort() {
     tcp::acceptor probe(io_,
                         tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     return probe.local_endpoint().port();
   }
-  uint16_t Port() { return port_ = UnusedPort(); }
+  uint16_t ChoosePort() { return port_ = FindUnusedPort(); }
 
   bool RunUntil(const std::function<bool()>& is_done) {
     for (int i = 0; i < 2000 && !is_done(); ++i) {
@@ -96,7 +96,7 @@
   }
 
   // Sends a caller's request and waits for its event.
-  const RequestArrived& Ask(const std::string& extra = "") {
+  const RequestArrived& SendRequest(const std::string& extra = "") {
     caller_ = std::make_unique<tcp::socket>(io_);
     caller_->connect(tcp::endpoint(asio::ip::make_address("127.0.0.1"), port_));
     const std::string request =
@@ -121,13 +121,13 @@
     engines_.Dispatch(dispatch, ingress_.Find(handle));
   }
 
-  const AttemptEnded& AwaitEnd() {
+  const AttemptEnded& WaitForAttemptEnd() {
     EXPECT_TRUE(RunUntil([this] { return Find<AttemptEnded>() != nullptr; }));
     return *Find<AttemptEnded>();
   }
 
   // Returns everything that the caller has received so far.
-  std::string Received() {
+  std::string ReceivedByCaller() {
     io_.run_for(std::chrono::milliseconds(20));
     io_.restart();
     while (caller_->available() > 0) {
@@ -155,53 +155,56 @@
 // Guards against a caller that names another team, or hides the header behind
 // "Connection", so that the engine bills the wrong team; and against engines
 // that receive callers' keys.
-TEST_F(EdgeTest, EngineSeesTheTeamAndNeverTheKey) {
+TEST_F(EdgeTest, EngineReceivesTeamButNotApiKey) {
   server_.answers = {kAnswer};
-  const RequestArrived& request =
-      Ask("Authorization: Token secret-key\r\nx-TENANT: other\r\n"
-          "X-Tenant: third\r\nConnection: X-Tenant\r\n");
+  const RequestArrived& request = SendRequest(
+      "Authorization: Token secret-key\r\nx-TENANT: other\r\n"
+      "X-Tenant: third\r\nConnection: X-Tenant\r\n");
   EXPECT_EQ(request.api_key, ApiKeyDigest::Of("secret-key"));
   EXPECT_FALSE(request.facts.headers.contains("authorization"));
   team_ = "studs";
   Dispatch(request.handle);
-  EXPECT_EQ(AwaitEnd().result, AttemptResult::kCompleted);
-  const std::string& seen = server_.requests.at(0);
-  EXPECT_NE(seen.find("x-tenant: studs\r\n"), std::string::npos) << seen;
-  EXPECT_EQ(seen.find("secret-key"), std::string::npos) << seen;
-  EXPECT_EQ(seen.find("other"), std::string::npos) << seen;
-  EXPECT_EQ(seen.find("third"), std::string::npos) << seen;
+  EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kCompleted);
+  const std::string& sent_request = server_.requests.at(0);
+  EXPECT_NE(sent_request.find("x-tenant: studs\r\n"), std::string::npos)
+      << sent_request;
+  EXPECT_EQ(sent_request.find("secret-key"), std::string::npos) << sent_request;
+  EXPECT_EQ(sent_request.find("other"), std::string::npos) << sent_request;
+  EXPECT_EQ(sent_request.find("third"), std::string::npos) << sent_request;
 }
 
-TEST_F(EdgeTest, PublicRequestsCarryNeitherTeamNorKey) {
+TEST_F(EdgeTest, PublicRequestHasNeitherTeamNorApiKey) {
   server_.answers = {kAnswer};
   const RequestArrived& request =
-      Ask("Authorization: Token secret-key\r\nX-Tenant: other\r\n");
+      SendRequest("Authorization: Token secret-key\r\nX-Tenant: other\r\n");
   team_ = "";
   Dispatch(request.handle);
-  EXPECT_EQ(AwaitEnd().result, AttemptResult::kCompleted);
-  const std::string& seen = server_.requests.at(0);
-  EXPECT_EQ(seen.find("x-tenant"), std::string::npos) << seen;
-  EXPECT_EQ(seen.find("secret-key"), std::string::npos) << seen;
+  EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kCompleted);
+  const std::string& sent_request = server_.requests.at(0);
+  EXPECT_EQ(sent_request.find("x-tenant"), std::string::npos) << sent_request;
+  EXPECT_EQ(sent_request.find("secret-key"), std::string::npos) << sent_request;
 }
 
 // Another scheme, no key, two keys in one request, and a key that is too long.
-TEST_F(EdgeTest, MalformedKeysAreNoKeys) {
+TEST_F(EdgeTest, MalformedApiKeysAreIgnored) {
   const std::string longest(5000, 'k');
   for (const std::string& header :
        {std::string("Basic secret"), std::string("Token"),
         std::string("Token "), std::string("Token a b"), "Token " + longest,
         std::string("Token a\r\nAuthorization: Token b")}) {
-    const RequestArrived& request = Ask("Authorization: " + header + "\r\n");
+    const RequestArrived& request =
+        SendRequest("Authorization: " + header + "\r\n");
     EXPECT_FALSE(request.api_key.has_value()) << header.substr(0, 40);
     events_.clear();
   }
-  EXPECT_EQ(Ask("Authorization: token ok\r\n").api_key, ApiKeyDigest::Of("ok"));
+  EXPECT_EQ(SendRequest("Authorization: token ok\r\n").api_key,
+            ApiKeyDigest::Of("ok"));
 }
 
-TEST_F(EdgeTest, DeclaredTokensAreSummedOrTakenAsNone) {
+TEST_F(EdgeTest, DeclaredTokensAreSummedUnlessMalformed) {
   const auto declared = [this](const std::string& usage) {
     const std::optional<double> tokens =
-        Ask("X-Token-Usage: " + usage + "\r\n").declared_tokens;
+        SendRequest("X-Token-Usage: " + usage + "\r\n").declared_tokens;
     events_.clear();
     return tokens;
   };
@@ -212,54 +215,56 @@
   }
 }
 
-TEST_F(EdgeTest, AnswerIsPassedOnUnchanged) {
+TEST_F(EdgeTest, ResponseIsForwardedUnchanged) {
   server_.answers = {kAnswer};
-  const RequestArrived& request = Ask();
+  const RequestArrived& request = SendRequest();
   EXPECT_EQ(request.facts.headers.at("host"), "shop.example");
   EXPECT_EQ(request.facts.path, "/a/b");
   EXPECT_EQ(request.facts.model, "m");
   Dispatch(request.handle);
-  EXPECT_EQ(AwaitEnd().result, AttemptResult::kCompleted);
-  const std::string received = Received();
+  EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kCompleted);
+  const std::string received = ReceivedByCaller();
   EXPECT_NE(received.find("x-server-stamp: s"), std::string::npos) << received;
   EXPECT_TRUE(received.ends_with("\r\n\r\nhello")) << received;
 }
 
 // A server that exits while it runs a request closes the connection and no
 // longer listens, unlike one that answers with malformed bytes.
-TEST_F(EdgeTest, ServerThatEndsIsToldFromOneThatAnswersWrongly) {
+TEST_F(EdgeTest, ClosedConnectionDiffersFromMalformedResponse) {
   server_.answers = {""};  // Closes without a response.
-  const RequestArrived& request = Ask();
+  const RequestArrived& request = SendRequest();
   EXPECT_EQ(request.fingerprint,
             RequestFingerprint(
                 {"POST", "shop.example", "/a/b?q=1", "anonymous", "hi"}));
   Dispatch(request.handle);
-  const AttemptEnded& cut = AwaitEnd();
-  EXPECT_EQ(cut.result, AttemptResult::kBroken);
-  EXPECT_TRUE(cut.is_cut) << cut.detail;
+  const AttemptEnded& closed = WaitForAttemptEnd();
+  EXPECT_EQ(closed.result, AttemptResult::kBroken);
+  EXPECT_TRUE(closed.is_cut) << closed.detail;
   events_.clear();
   server_.answers = {"garbage\r\n\r\n"};
-  Dispatch(Ask().handle);
-  EXPECT_FALSE(AwaitEnd().is_cut);
+  Dispatch(SendRequest().handle);
+  EXPECT_FALSE(WaitForAttemptEnd().is_cut);
   events_.clear();
   engines_.Probe({"i-7", server_.address()});
   ASSERT_TRUE(RunUntil([this] { return Find<ServerProbed>() != nullptr; }));
   EXPECT_EQ(Find<ServerProbed>()->state, ServerState::kListening);
   events_.clear();
-  const std::string nobody = "127.0.0.1:" + std::to_string(UnusedPort());
-  engines_.Probe({"i-8", nobody});
+  const std::string unused_address =
+      "127.0.0.1:" + std::to_string(FindUnusedPort());
+  engines_.Probe({"i-8", unused_address});
   ASSERT_TRUE(RunUntil([this] { return Find<ServerProbed>() != nullptr; }));
   EXPECT_EQ(Find<ServerProbed>()->state, ServerState::kGone);
 }
 
 // Guards against callers that set headers reserved for this system: these would
 // reserve memory, or take over that of another request.
-TEST_F(EdgeTest, OwnHeadersOfACallerNeverReachAServer) {
+TEST_F(EdgeTest, ReservedHeadersOfCallerAreRemoved) {
   server_.answers = {kAnswer};
-  Dispatch(Ask("X-Hold: 1\r\nX-Pin-Ms: 5\r\nX-Kv-Backup: a\r\nKv-From: b\r\n"
-               "X-Expect-Instance: other\r\nX-Custom: kept\r\n")
-               .handle);
-  AwaitEnd();
+  Dispatch(
+      SendRequest("X-Hold: 1\r\nX-Pin-Ms: 5\r\nX-Kv-Backup: a\r\nKv-From: b\r\n"
+                  "X-Expect-Instance: other\r\nX-Custom: kept\r\n")
+          .handle);
+  WaitForAttemptEnd();
   ASSERT_EQ(server_.requests.size(), 1u);
   const std::string& sent = server_.requests[0];
   for (const char* name : {"x-hold", "x-pin-ms", "x-kv-backup", "kv-from"}) {
@@ -273,35 +278,35 @@
 
 // Guards against a late response to another request on the same connection
 // that is forwarded to the wrong caller.
-TEST_F(EdgeTest, AnswerToAnotherIdIsNotPassedOn) {
+TEST_F(EdgeTest, ResponseToAnotherRequestIsNotForwarded) {
   server_.answers = {
       "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-0\r\nX-Server-Stamp: s\r\n"
       "Content-Length: 5\r\n\r\nhello"};
-  Dispatch(Ask().handle);
-  EXPECT_EQ(AwaitEnd().result, AttemptResult::kBroken);
-  EXPECT_EQ(Received(), "");
+  Dispatch(SendRequest().handle);
+  EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kBroken);
+  EXPECT_EQ(ReceivedByCaller(), "");
 }
 
 // Malformed bytes, a response without a stamp or with an encoding, and a
 // truncated response must not count as success.
-TEST_F(EdgeTest, WrongBytesAreNoSuccess) {
-  const std::string wrong[] = {
+TEST_F(EdgeTest, MalformedResponseIsNoSuccess) {
+  const std::string malformed_responses[] = {
       "garbage\r\n\r\n",
       "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nContent-Length: 5\r\n\r\nhello",
       "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Stamp: s\r\n"
       "Content-Encoding: gzip\r\nContent-Length: 5\r\n\r\nhello",
       "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Stamp: s\r\n"
       "Content-Length: 50\r\n\r\nhello"};
-  for (const std::string& answer : wrong) {
+  for (const std::string& answer : malformed_responses) {
     events_.clear();
     server_.answers = {answer};
-    Dispatch(Ask().handle);
-    EXPECT_EQ(AwaitEnd().result, AttemptResult::kBroken) << answer;
-    EXPECT_EQ(Received(), "") << answer;
+    Dispatch(SendRequest().handle);
+    EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kBroken) << answer;
+    EXPECT_EQ(ReceivedByCaller(), "") << answer;
   }
 }
 
-TEST_F(EdgeTest, ServersSayWhatTheyDidNotRun) {
+TEST_F(EdgeTest, RefusalStatusIsTranslated) {
   const std::pair<std::string, AttemptResult> cases[] = {
       {"503 Full", AttemptResult::kFull},
       {"421 Misdirected", AttemptResult::kModelAbsent},
@@ -311,103 +316,103 @@
     server_.answers = {"HTTP/1.1 " + status +
                        "\r\nX-Attempt-Id: id-1\r\nX-Not-Executed: 1\r\n"
                        "Content-Length: 0\r\n\r\n"};
-    Dispatch(Ask().handle);
-    EXPECT_EQ(AwaitEnd().result, result) << status;
+    Dispatch(SendRequest().handle);
+    EXPECT_EQ(WaitForAttemptEnd().result, result) << status;
   }
 }
 
 // An engine fails in the middle of an event. The caller must receive whole
 // events only, and the next engine must resume after the last: none is repeated
 // or missing.
-TEST_F(EdgeTest, BrokenStreamIsResumedAfterItsLastWholeEvent) {
+TEST_F(EdgeTest, BrokenStreamResumesAfterLastWholeEvent) {
   const std::string head =
       "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Stamp: s\r\n"
       "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
   server_.answers = {head + "18\r\nid: 1\ndata: a\n\nid: 2\ndat\r\n",
                      head + "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n"};
-  const RequestHandle handle = Ask().handle;
+  const RequestHandle handle = SendRequest().handle;
   Dispatch(handle);
-  const AttemptEnded first = AwaitEnd();
+  const AttemptEnded first = WaitForAttemptEnd();
   EXPECT_EQ(first.result, AttemptResult::kBroken);
   EXPECT_TRUE(first.has_delivered);
   EXPECT_TRUE(first.can_resume);
-  std::string received = Received();
+  std::string received = ReceivedByCaller();
   EXPECT_NE(received.find("data: a"), std::string::npos);
   EXPECT_EQ(received.find("id: 2"), std::string::npos) << received;
   events_.clear();
   Dispatch(handle, 2, /*resume=*/true);
-  EXPECT_EQ(AwaitEnd().result, AttemptResult::kCompleted);
+  EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kCompleted);
   EXPECT_NE(server_.requests[1].find("last-event-id: 1\r\n"),
             std::string::npos);
-  received = Received();
+  received = ReceivedByCaller();
   EXPECT_NE(received.find("data: b"), std::string::npos) << received;
   EXPECT_TRUE(received.ends_with("0\r\n\r\n")) << received;
 }
 
 // Guards against an engine that keeps running a request whose caller has
 // disconnected before the first token.
-TEST_F(EdgeTest, CallerThatLeavesIsNoticedAndItsAttemptCancelled) {
-  const RequestHandle handle = Ask().handle;
+TEST_F(EdgeTest, AttemptOfDisconnectedCallerIsCancelled) {
+  const RequestHandle handle = SendRequest().handle;
   Dispatch(handle);
   RunUntil([this] { return !server_.requests.empty(); });
   caller_->close();
   EXPECT_TRUE(RunUntil([this] { return Find<CallerGone>() != nullptr; }));
   engines_.Cancel(CancelAttempt{handle, 1});
-  EXPECT_EQ(AwaitEnd().result, AttemptResult::kBroken);
+  EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kBroken);
 }
 
 // Guards against a cancel that is lost because its attempt has not started yet:
 // the server would run a request without a caller.
-TEST_F(EdgeTest, CancelBeforeTheAttemptBeginsKeepsItFromTheServer) {
+TEST_F(EdgeTest, CancelBeforeAttemptStartsPreventsSending) {
   server_.answers = {kAnswer};
-  const RequestHandle handle = Ask().handle;
+  const RequestHandle handle = SendRequest().handle;
   Dispatch(handle);
   engines_.Cancel(CancelAttempt{handle, 1});
-  EXPECT_EQ(AwaitEnd().result, AttemptResult::kNotSent);
+  EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kNotSent);
   EXPECT_TRUE(server_.requests.empty());
 }
 
 // Guards against a request that is forwarded after its caller has disconnected:
 // the close has been noticed, but the cancel has not arrived yet.
-TEST_F(EdgeTest, AttemptOfACallerThatLeftIsNotSent) {
+TEST_F(EdgeTest, AttemptOfDisconnectedCallerIsNotSent) {
   server_.answers = {kAnswer};
-  const RequestHandle handle = Ask().handle;
+  const RequestHandle handle = SendRequest().handle;
   Dispatch(handle);
   ingress_.Find(handle)->CallerLeft(SystemClock().Now());
-  EXPECT_EQ(AwaitEnd().result, AttemptResult::kNotSent);
+  EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kNotSent);
   EXPECT_TRUE(server_.requests.empty());
 }
 
-TEST_F(EdgeTest, CancelAfterACloseIsMeasured) {
-  const RequestHandle handle = Ask().handle;
+TEST_F(EdgeTest, CancelAfterCallerCloseIsReported) {
+  const RequestHandle handle = SendRequest().handle;
   Dispatch(handle);
   ingress_.Find(handle)->CallerLeft(SystemClock().Now());
   engines_.Cancel(CancelAttempt{handle, 1});
   engines_.Cancel(CancelAttempt{handle, 2});
   EXPECT_EQ(cancels_after_close_, 1);
-  AwaitEnd();
+  WaitForAttemptEnd();
 }
 
-TEST_F(EdgeTest, RefusalTellsWhenToComeBack) {
-  const RequestHandle handle = Ask().handle;
+TEST_F(EdgeTest, RefusalHasRetryAfter) {
+  const RequestHandle handle = SendRequest().handle;
   ingress_.Refuse({handle,
                    "4/rule",
                    {Verdict::kNotRun, RefusalReason::kCannotMeetDeadline,
                     "late", std::chrono::milliseconds(1250)}});
-  const std::string received = Received();
+  const std::string received = ReceivedByCaller();
   EXPECT_TRUE(received.starts_with("HTTP/1.1 503 ")) << received;
   EXPECT_NE(received.find("retry-after: 1.250"), std::string::npos) << received;
 }
 
 // A request that may have run must not get a status or header that invites a
 // retry, whatever the reason of the refusal.
-TEST_F(EdgeTest, RefusalOfWhatMayHaveRunPromisesNothing) {
-  const RequestHandle handle = Ask().handle;
+TEST_F(EdgeTest, RefusalOfPossiblyExecutedRequestHasNoRetryAfter) {
+  const RequestHandle handle = SendRequest().handle;
   ingress_.Refuse({handle,
                    "4/rule",
                    {Verdict::kMayHaveRun, RefusalReason::kQueueFull, "x",
                     std::chrono::seconds(1)}});
-  const std::string received = Received();
+  const std::string received = ReceivedByCaller();
   EXPECT_TRUE(received.starts_with("HTTP/1.1 502 ")) << received;
   EXPECT_EQ(received.find("retry-after"), std::string::npos) << received;
 }
--- a/tests/platform/operator_config_test.cc
+++ b/tests/platform/operator_config_test.cc
@@ -39,7 +39,7 @@
     ASSERT_TRUE(status.ok()) << status.message();
   }
 
-  const Rule& RuleFor(const std::string& host, const std::string& path) {
+  const Rule& MatchingRule(const std::string& host, const std::string& path) {
     RequestFacts facts;
     facts.path = path;
     facts.headers["host"] = host;
@@ -52,7 +52,7 @@
   RuleBook book_;
 };
 
-TEST_F(OperatorConfigTest, TeamsTheirKeysAndQuotasAreRead) {
+TEST_F(OperatorConfigTest, TeamsKeysAndQuotasAreParsed) {
   EXPECT_EQ(config_.rules.teams, nullptr);
   Json json = *ParseJson(kConfig);
   json["routes"][0]["public"] = true;
@@ -82,38 +82,38 @@
   }
 }
 
-TEST_F(OperatorConfigTest, LongestPrefixOfTheHostDecides) {
-  EXPECT_EQ(RuleFor("shop.example", "/a/x").name, "wide");
-  EXPECT_EQ(RuleFor("shop.example", "/a/b/x").name, "long");
-  EXPECT_EQ(RuleFor("shop.example", "/c/x").name, "once");
-  EXPECT_TRUE(RuleFor("shop.example", "/d/x").then.refuse.has_value());
-  EXPECT_TRUE(RuleFor("other.example", "/a/x").then.refuse.has_value());
+TEST_F(OperatorConfigTest, LongestPrefixOfHostMatches) {
+  EXPECT_EQ(MatchingRule("shop.example", "/a/x").name, "wide");
+  EXPECT_EQ(MatchingRule("shop.example", "/a/b/x").name, "long");
+  EXPECT_EQ(MatchingRule("shop.example", "/c/x").name, "once");
+  EXPECT_TRUE(MatchingRule("shop.example", "/d/x").then.refuse.has_value());
+  EXPECT_TRUE(MatchingRule("other.example", "/a/x").then.refuse.has_value());
 }
 
-TEST_F(OperatorConfigTest, KindsSayWhatMayBeRepeated) {
-  const RuleOutcome& wide = RuleFor("shop.example", "/a/x").then;
+TEST_F(OperatorConfigTest, RouteKindSetsRepeatability) {
+  const RuleOutcome& wide = MatchingRule("shop.example", "/a/x").then;
   EXPECT_TRUE(wide.repeatable);
   EXPECT_EQ(wide.retries, 1);
   EXPECT_EQ(wide.deadline, std::chrono::seconds(1));
-  const RuleOutcome& stream = RuleFor("shop.example", "/a/b/x").then;
+  const RuleOutcome& stream = MatchingRule("shop.example", "/a/b/x").then;
   EXPECT_TRUE(stream.resumable);
   EXPECT_TRUE(stream.repeatable);
   ASSERT_EQ(stream.services.size(), 2u);
   EXPECT_EQ(stream.services[1].service, "llm2");
   EXPECT_EQ(stream.services[1].weight, 10);
-  const RuleOutcome& once = RuleFor("shop.example", "/c/x").then;
+  const RuleOutcome& once = MatchingRule("shop.example", "/c/x").then;
   EXPECT_FALSE(once.repeatable);
   EXPECT_FALSE(once.needs_claim);
   EXPECT_EQ(once.retries, 0);
 }
 
-TEST_F(OperatorConfigTest, RulesReadAsSentences) {
+TEST_F(OperatorConfigTest, RulesAreExplained) {
   const std::string text = ExplainRuleSet(book_.current()->set);
   EXPECT_NE(text.find("at service llm (weight 90) or llm2"), std::string::npos);
   EXPECT_NE(text.find("no route matches"), std::string::npos);
 }
 
-TEST_F(OperatorConfigTest, ModelsAndAdaptersStandByService) {
+TEST_F(OperatorConfigTest, CatalogueNamesStartWithService) {
   ASSERT_EQ(config_.catalogue.catalogue.size(), 3u);
   const CatalogueEntry& model = config_.catalogue.catalogue[0];
   EXPECT_EQ(model.name, "llm/m");
@@ -124,13 +124,13 @@
   EXPECT_EQ(config_.catalogue.engine_classes.at("llm").adapter_slots, 8);
 }
 
-TEST_F(OperatorConfigTest, LimitsBoundTheCallers) {
+TEST_F(OperatorConfigTest, LimitsAreParsed) {
   EXPECT_EQ(config_.limits.header_bytes, 1000u);
   EXPECT_EQ(config_.limits.body_bytes, 2000u);
   EXPECT_EQ(config_.limits.idle_timeout, std::chrono::seconds(15));
 }
 
-TEST(OperatorConfig, MalformedOnesAreRefused) {
+TEST(OperatorConfig, MalformedConfigurationIsRejected) {
   for (const char* text :
        {"[]", "{}", R"({"version": 3})", R"({"version": 0, "routes": []})"}) {
     EXPECT_FALSE(ReadOperatorConfig(*ParseJson(text)).ok()) << text;
--- a/tests/platform/server_entry_test.cc
+++ b/tests/platform/server_entry_test.cc
@@ -26,7 +26,7 @@
     "services": [{"name": "llm", "engine": {"weights_mb": 5.5, "models":
     [{"name": "m", "adapters": 2, "load_s": 6.9}]}}], "limits": {}})";
 
-TEST(ServerEntry, IsRead) {
+TEST(ServerEntry, ListedServerIsParsed) {
   const auto server = ReadServer("i-1", *ParseJson(R"({"service": "llm",
     "address": "10.0.0.9:80", "zone": "hall", "capacity": 64,
     "state": "draining", "models": [{"name": "m", "version": 1,
@@ -40,7 +40,7 @@
   EXPECT_FALSE(ReadServer("i-2", *ParseJson(R"({"service": "llm"})")).ok());
 }
 
-TEST(ServerEntry, ReportIsRead) {
+TEST(ServerEntry, ReportIsParsed) {
   const absl::StatusOr<Inventory> read =
       ReadReport("i-1", "llm", *ParseJson(R"({
     "models": [{"name": "m", "version": 1, "adapters": ["a1"]}],
@@ -57,7 +57,7 @@
 
 // A restarted server may keep its id; its start time identifies the
 // incarnation.
-TEST(ServerEntry, StartIsRead) {
+TEST(ServerEntry, StartTimeIsParsed) {
   const auto server = ReadServer("i-1", *ParseJson(kEntry));
   ASSERT_TRUE(server.ok()) << server.status();
   EXPECT_EQ(ToUnixMillis(server->started_at), 1764720000123);
@@ -67,8 +67,8 @@
 }
 
 // Entries that lack a required field or have a malformed one.
-TEST(ServerEntry, UnusableOnesAreRefused) {
-  const auto changed = [](const char* key, const char* value) {
+TEST(ServerEntry, UnusableEntriesAreRejected) {
+  const auto entry_with = [](const char* key, const char* value) {
     Json json = *ParseJson(kEntry);
     json[key] = *ParseJson(value);
     return json;
@@ -80,19 +80,19 @@
     Json json = *ParseJson(kEntry);
     json.erase(key);
     EXPECT_FALSE(ReadServer("i-1", json).ok()) << key;
-    EXPECT_FALSE(ReadServer("i-1", changed(key, "[]")).ok()) << key;
+    EXPECT_FALSE(ReadServer("i-1", entry_with(key, "[]")).ok()) << key;
   }
-  EXPECT_FALSE(ReadServer("i-1", changed("state", "\"resting\"")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("address", "\"elsewhere\"")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("capacity", "0")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("born", "\"noon\"")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("born", "-3")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("models", "{}")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("models", "[3]")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("state", "\"resting\"")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("address", "\"elsewhere\"")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("capacity", "0")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("born", "\"noon\"")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("born", "-3")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("models", "{}")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("models", "[3]")).ok());
 }
 
 // A missing order count must not be read as zero: orders would be repeated.
-TEST(ServerEntry, UnusableReportsAreRefused) {
+TEST(ServerEntry, UnusableReportsAreRejected) {
   for (const char* text :
        {"[]", "{}", R"({"models": [], "busy": true})",
         R"({"models": [], "busy": 1, "seq": 1})",
@@ -105,7 +105,7 @@
 
 // Replaces or erases one value anywhere in a document.
 Json Mutate(const Json& json, Random& random) {
-  static const Json kStrange = *ParseJson(
+  static const Json kReplacements = *ParseJson(
       R"([null, true, -1, 0, 1e300, 18446744073709551615, "", "x", [], {},
           [[]], {"name": 3}, [null], "10.0.0.1:99999"])");
   if (json.is_structured() && !json.empty() && random.Unit() < 0.8) {
@@ -119,12 +119,12 @@
     *it = Mutate(*it, random);
     return copy;
   }
-  return kStrange[random.Below(kStrange.size())];
+  return kReplacements[random.Below(kReplacements.size())];
 }
 
 // Whatever the store or an engine sends, parsing must neither throw nor accept
 // a server without a valid address.
-TEST(ServerEntry, ReadersEndureMutatedDocuments) {
+TEST(ServerEntry, MutatedDocumentsDoNotThrow) {
   constexpr uint64_t kSeed = 20261203;
   SCOPED_TRACE(testing::Message() << "seed " << kSeed);
   Random random(kSeed);
--- a/tests/platform/server_limit_header_test.cc
+++ b/tests/platform/server_limit_header_test.cc
@@ -15,7 +15,7 @@
   return ReadServerLimit(head);
 }
 
-TEST(ServerLimitHeaderTest, DecimalsAreRead) {
+TEST(ServerLimitHeaderTest, DecimalsAreParsed) {
   EXPECT_EQ(Read("1.2").kind, Kind::kNamed);
   EXPECT_DOUBLE_EQ(Read("1.2").per_second, 1.2);
   EXPECT_DOUBLE_EQ(Read(" 3 ").per_second, 3);
@@ -25,12 +25,12 @@
   EXPECT_DOUBLE_EQ(Read("2", 503).per_second, 2);
 }
 
-TEST(ServerLimitHeaderTest, LowestOfSeveralCounts) {
+TEST(ServerLimitHeaderTest, LowestOfSeveralValuesCounts) {
   EXPECT_DOUBLE_EQ(Read("3, 1.5").per_second, 1.5);
   EXPECT_DOUBLE_EQ(Read("1.5,1.5").per_second, 1.5);
 }
 
-TEST(ServerLimitHeaderTest, WhatMakesNoSenseIsUnreadable) {
+TEST(ServerLimitHeaderTest, MalformedValueIsReported) {
   for (const char* text : {"", "-1", "+1", "nan", "inf", "1e3", "0x1", "1.2.3",
                            ".", "one", "1 2", "1,,2", "1,-2"}) {
     EXPECT_EQ(Read(text).kind, Kind::kMalformed) << text;
@@ -38,14 +38,14 @@
   EXPECT_LE(Read(std::string(10000, 'x')).text.size(), 100u);
 }
 
-TEST(ServerLimitHeaderTest, LimitBeyondAllMeasureIsNone) {
+TEST(ServerLimitHeaderTest, HugeLimitMeansNoLimit) {
   EXPECT_EQ(Read("1000000000").kind, Kind::kNone);
   EXPECT_EQ(Read(std::string(400, '9')).kind, Kind::kNone);
 }
 
 // Guards against a limit that is dropped because a proxy's error or a response
 // without a stamp does not repeat it.
-TEST(ServerLimitHeaderTest, OnlyWholeAnswersWithdrawALimit) {
+TEST(ServerLimitHeaderTest, OnlyStampedSuccessRemovesLimit) {
   HttpResponse head;
   EXPECT_EQ(ReadServerLimit(head).kind, Kind::kUnknown);
   head.headers["x-server-stamp"] = "s";
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -27,7 +27,7 @@
       : io_(io),
         server_(
             io, {"127.0.0.1", 0},
-            [this](HttpExchange& exchange) { return Answer(exchange); },
+            [this](HttpExchange& exchange) { return HandleRequest(exchange); },
             HttpServerLimits{}) {}
 
   Address address() const { return {"127.0.0.1", server_.port()}; }
@@ -48,7 +48,7 @@
     return bytes + static_cast<char>(key.size()) + key + value;
   }
 
-  HttpResponse Newest(const std::string& topic) const {
+  HttpResponse NewestResponse(const std::string& topic) const {
     Json items = Json::array();
     if (topic == kConfig && !configs_.empty()) {
       items.push_back({{"key", "config"},
@@ -60,7 +60,7 @@
         200, Json{{"items", items}, {"has_more", false}, {"end", end}}.dump());
   }
 
-  HttpResponse News(const std::string& topic, uint64_t from) const {
+  HttpResponse UpdatesResponse(const std::string& topic, uint64_t from) const {
     HttpResponse response;
     response.status = 200;
     response.body = std::string(16, '\0');
@@ -71,11 +71,11 @@
     return response;
   }
 
-  asio::awaitable<void> Answer(HttpExchange& exchange) {
+  asio::awaitable<void> HandleRequest(HttpExchange& exchange) {
     const HttpRequest& request = exchange.request();
     const std::string topic = request.QueryParameter("topic");
     if (request.Path() == "/v1/log-newest") {
-      HttpResponse response = Newest(topic);
+      HttpResponse response = NewestResponse(topic);
       co_await exchange.Respond(std::move(response));
       co_return;
     }
@@ -91,9 +91,9 @@
         co_return;
       }
     }
-    const bool has_news = topic == kConfig && from < configs_.size();
-    if (!has_news) co_await Sleep(io_, milliseconds(wait_ms));
-    HttpResponse response = News(topic, from);
+    const bool has_updates = topic == kConfig && from < configs_.size();
+    if (!has_updates) co_await Sleep(io_, milliseconds(wait_ms));
+    HttpResponse response = UpdatesResponse(topic, from);
     co_await exchange.Respond(std::move(response));
   }
 
@@ -108,11 +108,11 @@
 
 class StoreClientTest : public testing::Test {
  protected:
-  void Take(const Event& event) {
+  void HandleEvent(const Event& event) {
     if (const auto* rules = std::get_if<RuleSetRead>(&event)) {
       version_ = rules->version;
-    } else if (const auto* news = std::get_if<StoreNewsRead>(&event)) {
-      ++proofs_[news->topic];
+    } else if (const auto* updates = std::get_if<StoreNewsRead>(&event)) {
+      ++update_events_[updates->topic];
     }
   }
   template <typename Fn>
@@ -122,29 +122,29 @@
 
   asio::io_context io_;
   ScriptedStore store_{io_};
-  std::map<std::string, int> proofs_;
+  std::map<std::string, int> update_events_;
   LogOffset version_ = 0;
   StoreClient client_{io_,
                       store_.address(),
                       kBudget,
                       milliseconds(100),
-                      [this](const Event& event) { Take(event); },
+                      [this](const Event& event) { HandleEvent(event); },
                       [](const HttpServerLimits&) {}};
 };
 
 // Guards against a hung read of the configuration that responses for other
 // topics hide, so that a change is applied seconds late.
-TEST_F(StoreClientTest, HungReadOfOneTopicProvesNothingAndIsRepeated) {
+TEST_F(StoreClientTest, HungReadOfOneTopicIsRetriedDespiteOtherTopics) {
   store_.Append(Config(1));
   store_.unanswered_config_reads = 1;
   client_.Start();
   RunUntil([&] { return store_.config_reads == 1; });
   EXPECT_EQ(version_, 1u);
   store_.Append(Config(2));
-  const int before = proofs_[kConfig];
-  RunUntil([&] { return proofs_["keyed.servers"] >= 2; });
+  const int before = update_events_[kConfig];
+  RunUntil([&] { return update_events_["keyed.servers"] >= 2; });
   EXPECT_EQ(version_, 1u);
-  EXPECT_EQ(proofs_[kConfig], before)
+  EXPECT_EQ(update_events_[kConfig], before)
       << "no response covered the configuration";
   RunUntil([&] { return version_ == 2; });
   EXPECT_EQ(store_.config_reads, 2);
@@ -152,7 +152,7 @@
 
 // Guards against a host that, after a disconnection, reads all missed changes
 // before it gets the newest.
-TEST_F(StoreClientTest, HostThatWasCutOffReadsTheNewestConfigurationAlone) {
+TEST_F(StoreClientTest, DisconnectedHostReadsOnlyNewestConfiguration) {
   store_.Append(Config(1));
   store_.unanswered_config_reads = 20;
   client_.Start();
