--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -273,7 +273,7 @@
 
 void Daemon::On(const DispatchRequest& action) {
   std::shared_ptr<CallerSession> session = FindSession(action.handle);
-  // The caller left a moment ago; its CallerGone is on the way here.
+  // The caller left a moment ago; its CallerDisconnected is on the way here.
   if (!session) return;
   backends_.Dispatch(action, std::move(session));
 }
@@ -370,7 +370,7 @@
   }
   exchange.SetOnPeerGone([this, session, handle] {
     session->CallerLeft(SystemClock().Now());
-    (void)decisions_.TryPush(CallerGone{handle});
+    (void)decisions_.TryPush(CallerDisconnected{handle});
   });
   if (decisions_.TryPush(std::move(event))) {
     co_await PassAnswer(exchange, *session, request_id);
@@ -427,7 +427,7 @@
     }
   }
   if (!exchange.is_peer_gone()) {
-    (void)decisions_.TryPush(CallerGone{session.handle()});
+    (void)decisions_.TryPush(CallerDisconnected{session.handle()});
   }
 }
 
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -18,7 +18,7 @@
 using std::chrono::seconds;
 
 constexpr char kConfig[] = "keyed.op";
-constexpr NewsBudget kBudget = NewsBudget::Within(seconds(1));
+constexpr FreshnessBudget kBudget = FreshnessBudget::Within(seconds(1));
 
 // Serves a log of configurations and an empty server list.
 class ScriptedStore {
@@ -111,7 +111,7 @@
   void HandleEvent(const Event& event) {
     if (const auto* rules = std::get_if<RuleSetRead>(&event)) {
       version_ = rules->version;
-    } else if (const auto* updates = std::get_if<StoreNewsRead>(&event)) {
+    } else if (const auto* updates = std::get_if<StoreUpdatesRead>(&event)) {
       ++update_events_[updates->topic];
     }
   }
