--- a/tests/platform/server_entry_test.cc
+++ b/tests/platform/server_entry_test.cc
@@ -1,5 +1,5 @@
-// Listed servers and engines' reports as the platform brings them, and what
-// becomes of those that are damaged or from another writer.
+// Parsing of server entries and engine reports, also of damaged ones and those
+// of writers of another version.
 
 #include "platform/server_entry.h"
 
@@ -26,7 +26,7 @@
     "services": [{"name": "llm", "engine": {"weights_mb": 5.5, "models":
     [{"name": "m", "adapters": 2, "load_s": 6.9}]}}], "limits": {}})";
 
-TEST(ServerEntry, IsRead) {
+TEST(ServerEntry, ListedServerIsParsed) {
   const auto server = ReadServer("i-1", *ParseJson(R"({"service": "llm",
     "address": "10.0.0.9:80", "zone": "hall", "capacity": 64,
     "state": "draining", "models": [{"name": "m", "version": 1,
@@ -40,7 +40,7 @@
   EXPECT_FALSE(ReadServer("i-2", *ParseJson(R"({"service": "llm"})")).ok());
 }
 
-TEST(ServerEntry, ReportIsRead) {
+TEST(ServerEntry, ReportIsParsed) {
   const absl::StatusOr<Inventory> read =
       ReadReport("i-1", "llm", *ParseJson(R"({
     "models": [{"name": "m", "version": 1, "adapters": ["a1"]}],
@@ -55,8 +55,9 @@
   EXPECT_EQ(inventory.replicas[2].base, "llm/m");
 }
 
-// A server that starts again may keep its id; the time of its start tells.
-TEST(ServerEntry, StartIsRead) {
+// A restarted server may keep its id; its start time identifies the
+// incarnation.
+TEST(ServerEntry, StartTimeIsParsed) {
   const auto server = ReadServer("i-1", *ParseJson(kEntry));
   ASSERT_TRUE(server.ok()) << server.status();
   EXPECT_EQ(ToUnixMillis(server->started_at), 1764720000123);
@@ -65,9 +66,9 @@
   EXPECT_EQ(report->started_at, server->started_at);
 }
 
-// Entries of other writers: each names no server to use.
-TEST(ServerEntry, UnusableOnesAreRefused) {
-  const auto changed = [](const char* key, const char* value) {
+// Entries that lack a required field or have a malformed one.
+TEST(ServerEntry, UnusableEntriesAreRejected) {
+  const auto entry_with = [](const char* key, const char* value) {
     Json json = *ParseJson(kEntry);
     json[key] = *ParseJson(value);
     return json;
@@ -79,19 +80,19 @@
     Json json = *ParseJson(kEntry);
     json.erase(key);
     EXPECT_FALSE(ReadServer("i-1", json).ok()) << key;
-    EXPECT_FALSE(ReadServer("i-1", changed(key, "[]")).ok()) << key;
+    EXPECT_FALSE(ReadServer("i-1", entry_with(key, "[]")).ok()) << key;
   }
-  EXPECT_FALSE(ReadServer("i-1", changed("state", "\"resting\"")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("address", "\"elsewhere\"")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("capacity", "0")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("born", "\"noon\"")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("born", "-3")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("models", "{}")).ok());
-  EXPECT_FALSE(ReadServer("i-1", changed("models", "[3]")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("state", "\"resting\"")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("address", "\"elsewhere\"")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("capacity", "0")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("born", "\"noon\"")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("born", "-3")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("models", "{}")).ok());
+  EXPECT_FALSE(ReadServer("i-1", entry_with("models", "[3]")).ok());
 }
 
-// Reports that cannot be relied on: counted as zero, orders would be repeated.
-TEST(ServerEntry, UnusableReportsAreRefused) {
+// A missing order count must not be read as zero: orders would be repeated.
+TEST(ServerEntry, UnusableReportsAreRejected) {
   for (const char* text :
        {"[]", "{}", R"({"models": [], "busy": true})",
         R"({"models": [], "busy": 1, "seq": 1})",
@@ -102,9 +103,9 @@
   }
 }
 
-// Replaces, drops or doubles one place anywhere in a document.
+// Replaces or erases one value anywhere in a document.
 Json Mutate(const Json& json, Random& random) {
-  static const Json kStrange = *ParseJson(
+  static const Json kReplacements = *ParseJson(
       R"([null, true, -1, 0, 1e300, 18446744073709551615, "", "x", [], {},
           [[]], {"name": 3}, [null], "10.0.0.1:99999"])");
   if (json.is_structured() && !json.empty() && random.Unit() < 0.8) {
@@ -118,12 +119,12 @@
     *it = Mutate(*it, random);
     return copy;
   }
-  return kStrange[random.Below(kStrange.size())];
+  return kReplacements[random.Below(kReplacements.size())];
 }
 
-// Whatever stands in the store or comes from an engine, reading it neither
-// throws nor lets a server pass that cannot be addressed.
-TEST(ServerEntry, ReadersEndureMutatedDocuments) {
+// Whatever the store or an engine sends, parsing must neither throw nor accept
+// a server without a valid address.
+TEST(ServerEntry, MutatedDocumentsDoNotThrow) {
   constexpr uint64_t kSeed = 20261203;
   SCOPED_TRACE(testing::Message() << "seed " << kSeed);
   Random random(kSeed);
