--- a/drivers/backend_client.cc
+++ b/drivers/backend_client.cc
@@ -19,11 +19,11 @@
 constexpr size_t kMostQueuedActions = 32768;
 constexpr Duration kOrderTimeout = std::chrono::seconds(3);
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(1000);
-// Between pieces of a stream; past it the engine counts as broken.
+// Max time between two chunks of a response; after it the attempt is broken.
 constexpr Duration kStreamSilence = std::chrono::seconds(15);
 constexpr Duration kFullChannelWait = std::chrono::milliseconds(1);
 
-// What the backend server says about a request that it did not answer.
+// Maps an error response of a backend server to the result of the attempt.
 AttemptResult RefusalResult(const HttpResponse& response) {
   const absl::StatusOr<Json> body = ParseJson(response.body);
   if (!body.ok() || !body->is_object()) return AttemptResult::kBroken;
@@ -42,7 +42,7 @@
   return status == 404 || status == 409 || status == 429 || status >= 500;
 }
 
-// The body with the model that the rule chose instead of the one asked for.
+// Returns the body with its model replaced by the one that the rule chose.
 std::string BodyFor(const std::string& body, const std::string& model) {
   absl::StatusOr<Json> json = ParseJson(body);
   if (!json.ok() || !json->is_object()) return body;
@@ -86,7 +86,7 @@
 void BackendClient::Dispatch(const DispatchRequest& action,
                              std::shared_ptr<CallerSession> session) {
   const bool is_posted = thread_.TryPost([this, action, session] {
-    // Known before its coroutine begins: a cancel may come first.
+    // Registered before its coroutine starts: Cancel() may run first.
     const std::shared_ptr<HttpStream> stream =
         client_.Prepare(MakeCall(action, *session));
     open_[{action.handle, action.attempt}] = stream;
@@ -121,8 +121,8 @@
   call.connect_timeout = kConnectTimeout;
   const Duration left = action.deadline - clock_.Now();
   call.header_timeout = std::max<Duration>(left, std::chrono::milliseconds(1));
-  // Whether a kept connection was already closed by the other side is not
-  // known before the request is lost on it.
+  // An idle connection may already be closed by the peer, which shows only when
+  // the request on it is lost.
   call.fresh_connection = action.is_claimed;
   if (action.resume) {
     call.request.headers["applehall-resume-from"] =
@@ -131,7 +131,7 @@
   if (action.kind == BackendKind::kEngine) {
     call.request.body = BodyFor(call.request.body, action.model);
   } else if (action.kind == BackendKind::kService) {
-    // "/services/NAME/rest" is "/rest" to the service.
+    // The service receives "/services/NAME/rest" as "/rest".
     const auto name_end = call.request.target.find('/', 10);
     call.request.target = name_end == std::string::npos
                               ? "/"
@@ -156,7 +156,8 @@
 asio::awaitable<AttemptEnded> BackendClient::Attempt(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   if (session.is_closed()) {
-    co_return EndOf(action, AttemptResult::kNotSent, "the caller has left");
+    co_return EndOf(action, AttemptResult::kNotSent,
+                    "the caller has disconnected");
   }
   co_await stream.Start();
   if (stream.state() == SendState::kNotSent) {
@@ -215,7 +216,8 @@
     co_await session.AwaitRoom(thread_.io());
     if (session.is_closed()) {
       stream.Cancel();
-      co_return EndOf(action, AttemptResult::kBroken, "the caller closed");
+      co_return EndOf(action, AttemptResult::kBroken,
+                      "the caller disconnected");
     }
     partial += co_await stream.ReadSome(kStreamSilence);
     std::string events = TakeWholeEvents(partial);
@@ -236,7 +238,7 @@
 }
 
 void BackendClient::Probe(const ProbeServer& action) {
-  // A probe that does not fit into the queue leaves the server's state unknown.
+  // If the queue is full, the server's state is reported as unknown.
   const bool is_posted = thread_.TryPost([this, action] {
     asio::co_spawn(thread_.io(), RunProbeOf(action), asio::detached);
   });
@@ -250,8 +252,8 @@
 }
 
 void BackendClient::SendEngineOrder(const SendOrder& action) {
-  // An order that does not fit into the queue is lost, like one on the wire;
-  // the ledger keeps its reservation until that is proven.
+  // If the queue is full, the order is dropped, as if lost in transit; the
+  // ledger keeps its reservation until the loss is proven.
   (void)thread_.TryPost([this, action] {
     asio::co_spawn(thread_.io(), RunOrder(action), asio::detached);
   });
@@ -259,8 +261,8 @@
 
 asio::awaitable<void> BackendClient::RunOrder(SendOrder action) {
   const TimePoint asked_at = clock_.Now();
-  // A process that was paused between decision and sending must not act on
-  // what it believed then: its ownership may be another's by now.
+  // Guards against a process that was paused between decision and sending:
+  // another host may have taken over ownership meanwhile.
   if (asked_at > action.order.send_by) co_return;
   HttpCall call;
   const absl::StatusOr<Address> address = ParseAddress(action.address);
--- a/drivers/backend_client.h
+++ b/drivers/backend_client.h
@@ -12,17 +12,19 @@
 
 namespace applehall {
 
-// Sends requests and orders to backend servers and streams answers back.
+// Sends requests and orders to backend servers and streams the responses to the
+// callers.
 class BackendClient {
  public:
-  // `shared_key` proves to other data centres that a request was forwarded.
+  // `shared_key` signs forwarded requests, so that other data centres accept
+  // them as forwarded.
   BackendClient(std::string data_centre, std::string shared_key,
                 DecisionThread& decisions);
 
   // Thread: the owner's.
   void Start();
   void Stop();
-  // Each is thread-safe; its end comes back as an event.
+  // Thread-safe. Results are reported to `decisions` as events.
   void Dispatch(const DispatchRequest& action,
                 std::shared_ptr<CallerSession> session);
   void Cancel(RequestHandle handle, int attempt);
@@ -55,11 +57,12 @@
   SystemClock clock_;
   IoThread thread_;
   HttpClient client_;
-  // Attempts under way, for cancelling. Thread: the backend's.
+  // Running attempts, for Cancel(). Thread: the backend's.
   std::map<std::pair<RequestHandle, int>, std::shared_ptr<HttpStream>> open_;
 };
 
-// Proof that a request was forwarded by a host that holds the key.
+// Returns the HMAC of a request id, which proves that the host that forwarded
+// the request holds the shared key.
 std::string ForwardProof(const std::string& shared_key,
                          const std::string& request_id);
 
--- a/drivers/caller_session.cc
+++ b/drivers/caller_session.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Between looks at a caller that takes its answer slower than it comes.
+// Interval at which a full buffer is checked for free space.
 constexpr Duration kSlowCallerPause = std::chrono::milliseconds(2);
 
 }  // namespace
@@ -76,7 +76,7 @@
 void CallerSession::CallerLeft(TimePoint now) {
   left_at_ = now;
   Close();
-  // Wakes whoever waits in Next(); a refusal is what it takes for the end.
+  // Ends a pending Next(), whose caller treats a refusal as the end.
   ReplyPart gone;
   gone.kind = ReplyPart::Kind::kRefusal;
   PushAlways(std::move(gone));
--- a/drivers/caller_session.h
+++ b/drivers/caller_session.h
@@ -16,7 +16,7 @@
 
 namespace applehall {
 
-// A piece of the answer on its way from the backend thread to the caller's.
+// A part of a response, passed from the backend thread to the callers' thread.
 struct ReplyPart {
   enum class Kind : uint8_t { kWhole, kBegin, kChunk, kEnd, kRefusal };
   Kind kind = Kind::kWhole;
@@ -26,48 +26,51 @@
   std::string rule;
 };
 
-// One caller's request while it is open: the only way to its one answer.
+// An open request of one caller with the queue of its response parts. The one
+// response of the request is sent only through it.
 //
-// The backend thread pushes parts, the callers' thread takes them. The bytes
-// under way are bounded: a slow caller slows the engine down, it does not
-// fill the memory.
+// The backend thread pushes parts, the callers' thread reads them. The buffered
+// bytes are bounded: a slow caller slows down its engine instead of filling the
+// memory.
 class CallerSession : public std::enable_shared_from_this<CallerSession> {
  public:
   CallerSession(boost::asio::io_context& io, uint64_t handle,
                 HttpRequest request)
       : io_(io), wake_(io), handle_(handle), request_(std::move(request)) {}
 
-  // Thread-safe. Parts after the end of an answer are ignored.
+  // Thread-safe. Parts pushed after Close() are ignored.
   void Push(ReplyPart part);
   void PushChunk(std::string data);
   void PushEnd();
   void PushRefusal(Refusal refusal, std::string rule);
-  // True while the caller has too much waiting already. Thread-safe.
+  // True while too many bytes are buffered for the caller. Thread-safe.
   bool is_full() const { return bytes_waiting_ > kMostBytesWaiting; }
   bool is_closed() const { return is_closed_; }
 
-  // The next part; waits for it. Thread: the callers'.
+  // Waits for the next part and returns it. Thread: the callers'.
   boost::asio::awaitable<ReplyPart> Next();
-  // Waits until a slow caller has caught up, or closed. Thread: the backend's,
-  // which runs `backend_io`.
+  // Waits until the buffer has free space or the session is closed. Thread: the
+  // backend's, which runs `backend_io`.
   boost::asio::awaitable<void> AwaitRoom(boost::asio::io_context& backend_io);
-  // The caller is gone or has its answer. Thread: the callers'.
+  // Closes the session: the caller disconnected or has its response. Thread:
+  // the callers'.
   void Close() { is_closed_ = true; }
-  // Close(), and whoever waits in Next() is told. Thread: the callers'.
+  // Closes the session after a disconnect of the caller and ends a pending
+  // Next(). Thread: the callers'.
   void CallerLeft(TimePoint now);
-  // When it did; nothing before. Thread-safe.
+  // Time at which the caller disconnected; nothing before. Thread-safe.
   std::optional<TimePoint> left_at() const;
 
   uint64_t handle() const { return handle_; }
   const HttpRequest& request() const { return request_; }
-  // Events of a stream that the caller holds; where a broken one goes on.
-  // Thread: the backend's.
+  // Number of stream events sent to the caller; a broken stream is resumed
+  // after them. Thread: the backend's.
   int delivered_events = 0;
   std::string last_event_id;
   bool has_begun = false;
 
  private:
-  // Also after Close(), to wake whoever waits in Next(). Thread-safe.
+  // Pushes a part even after Close(), to end a pending Next(). Thread-safe.
   void PushAlways(ReplyPart part);
 
   static constexpr size_t kMostBytesWaiting = 256 * 1024;
--- a/drivers/decision_thread.cc
+++ b/drivers/decision_thread.cc
@@ -63,7 +63,8 @@
   boost::fibers::fiber ticker([this] {
     while (!inbox_.is_closed()) {
       boost::this_fiber::sleep_for(kTickInterval);
-      // A tick that finds the channel full is made up for by the next one.
+      // If the channel is full, this tick is skipped; the next one does its
+      // work.
       (void)inbox_.try_push(Work(Event(Tick{})));
     }
   });
--- a/drivers/decision_thread.h
+++ b/drivers/decision_thread.h
@@ -13,7 +13,7 @@
 
 namespace applehall {
 
-// Drives one Node on a thread of its own, with Boost.Fiber: one fiber takes
+// Runs one Node on a thread of its own, with Boost.Fiber: one fiber handles
 // events from a bounded channel, another sends the ticks.
 class DecisionThread {
  public:
@@ -28,13 +28,14 @@
   void Start();
   void Stop();
 
-  // False if the channel is full; nothing happens then. Thread-safe.
+  // Queues an event. Returns false, and drops the event, if the channel is
+  // full. Thread-safe.
   bool TryPush(Event event);
-  // Runs `query` on the decision thread, between events. False if the channel
-  // is full. Thread-safe.
+  // Runs `query` on the decision thread, between events. Returns false if the
+  // channel is full. Thread-safe.
   bool TryQuery(Query query);
 
-  // Kept up to date for other threads. Thread-safe.
+  // State of the node as last published for other threads. Thread-safe.
   LogOffset control_offset() const { return control_offset_; }
   bool wants_control_reads() const { return wants_control_reads_; }
   bool is_ready() const { return is_ready_; }
@@ -56,7 +57,7 @@
   std::atomic<bool> wants_control_reads_{true};
   std::atomic<bool> is_ready_{false};
   std::atomic<int64_t> cpu_time_us_{0};
-  std::unique_ptr<Node> node_;  // Belongs to the thread.
+  std::unique_ptr<Node> node_;  // Used only on thread_.
 };
 
 }  // namespace applehall
--- a/drivers/event_stream.h
+++ b/drivers/event_stream.h
@@ -6,12 +6,13 @@
 
 namespace applehall {
 
-// Takes all whole server-sent events off the front of `partial`; what stays is
-// the start of one. Only whole events go on to a caller, so that a broken
-// stream can be resumed at one. Requires: nothing. Thread-safe.
+// Removes all complete server-sent events from the front of `partial` and
+// returns them; an incomplete event stays. Only complete events are sent to a
+// caller, so that a broken stream can be resumed between two events. Requires:
+// nothing. Thread-safe.
 std::string TakeWholeEvents(std::string& partial);
 
-// How many events `events`, which are whole, are. Requires: nothing.
+// Returns the number of events in `events`. Requires: complete events only.
 // Thread-safe.
 int CountEvents(std::string_view events);
 
--- a/drivers/http_client.cc
+++ b/drivers/http_client.cc
@@ -26,10 +26,11 @@
 
 using StreamPtr = std::unique_ptr<beast::tcp_stream>;
 
-// Some servers do not say how long they keep an idle connection.
+// For servers that do not send a keep-alive timeout.
 constexpr Duration kUntoldIdle = std::chrono::seconds(1);
-// The part of the told time that is trusted: the server counts from another
-// moment, and its close must not cross a request.
+// Part of the server's keep-alive timeout in which a connection is reused: the
+// server's timer starts at another time, and its close must not cross a
+// request.
 constexpr double kTrustedIdleShare = 0.5;
 
 bool IsStillOpen(beast::tcp_stream& stream) {
@@ -39,7 +40,7 @@
   return size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-// How long the connection may be idle and still be used again.
+// Returns how long a connection may be idle and still be reused.
 Duration TrustedIdle(std::string_view keep_alive) {
   const auto at = keep_alive.find("timeout=");
   int seconds = 0;
@@ -153,7 +154,7 @@
     }
     if (is_cancelled_) co_return;
     if (IsOver()) {
-      error_ = "too late to send";
+      error_ = "timeout before the request was sent";
       co_return;
     }
     const bool is_sent = co_await Send(call);
@@ -162,7 +163,7 @@
   }
 
  private:
-  // The part of `timeout` that the whole call still has.
+  // Returns `timeout`, limited to the time left for the whole call.
   Duration Within(Duration timeout) const {
     if (!call_.whole_timeout) return timeout;
     const Duration left = begun_at_ + *call_.whole_timeout - clock_.Now();
@@ -200,14 +201,14 @@
     }
     message.body() = call.request.body;
     message.prepare_payload();
-    // From here on the peer may have read it.
+    // From here on the peer may have received the request.
     state_ = SendState::kMayBeSent;
-    // Guards against a request that outlives its sender's decision. Sent into a
-    // cut and closed politely after its timeout, its bytes stay with the
-    // kernel, which delivers them when the path is back, seconds later: an
-    // order of an owner that was superseded meanwhile, or work for a caller
-    // that has left. A reset discards them. Once the answer's head is here, so
-    // were they.
+    // Guards against a request that is delivered after its timeout. After a
+    // normal close during a network partition, the kernel keeps the bytes and
+    // delivers them seconds later, when the partition ends: an order of an
+    // owner that was superseded meanwhile, or work for a caller that has
+    // disconnected. A reset discards them. A response head shows that the
+    // request was received.
     DiscardOnClose(stream_->socket().native_handle(), true);
     stream_->expires_after(Within(call.header_timeout));
     const auto [error, size] =
@@ -223,7 +224,7 @@
     const auto [error, size] =
         co_await http::async_read_header(*stream_, buffer_, parser_, kToken);
     if (error) {
-      error_ = "no answer: " + error.message();
+      error_ = "no response: " + error.message();
       is_cut_ = IsPeerClose(error);
       co_return;
     }
--- a/drivers/http_client.h
+++ b/drivers/http_client.h
@@ -13,29 +13,30 @@
 
 namespace applehall {
 
-// How far a request got. Only kNotSent proves that the peer did nothing.
+// Progress of a request. Only kNotSent proves that the peer did not process it.
 enum class SendState : uint8_t { kNotSent, kMayBeSent, kAnswered };
 
-// A response being read piece by piece.
+// A call whose response is read in chunks.
 class HttpStream {
  public:
   virtual ~HttpStream() = default;
 
-  // Connects if it must, sends the request and reads the answer's head.
-  // Requires: called once. Thread: the client's.
+  // Connects unless an idle connection can be reused, sends the request and
+  // reads the response head. Requires: called once. Thread: the client's.
   virtual boost::asio::awaitable<void> Start() = 0;
   virtual SendState state() const = 0;
   // Requires: state() is kAnswered.
   virtual const HttpResponse& head() const = 0;
-  // The next piece of the body; empty at its end or when it broke. Requires:
-  // the last call has returned. Thread: the client's.
+  // Returns the next chunk of the body; empty at its end or after an error.
+  // Requires: the last call has returned. Thread: the client's.
   virtual boost::asio::awaitable<std::string> ReadSome(Duration timeout) = 0;
-  // True if the body ended as the protocol says it must.
+  // True if the body was read to its end as HTTP defines it.
   virtual bool is_whole() const = 0;
-  // Ends what is under way and closes the connection. Thread: the client's.
+  // Cancels the call and closes the connection. Thread: the client's.
   virtual void Cancel() = 0;
   virtual std::string error() const = 0;
-  // The peer closed or reset the connection before the answer was whole.
+  // True if the peer closed or reset the connection before the response was
+  // complete.
   virtual bool is_cut() const = 0;
 };
 
@@ -44,12 +45,13 @@
   HttpRequest request;
   Duration connect_timeout = std::chrono::seconds(2);
   Duration header_timeout = std::chrono::seconds(10);
-  // Never a kept connection: the peer may have closed it unseen, and then it
-  // is not known whether the request was read.
+  // Opens a new connection instead of reusing an idle one. The peer may have
+  // closed an idle one unnoticed; it is then unknown whether the request was
+  // read.
   bool fresh_connection = false;
-  // From here to the head of the answer, at most; counts the time in which the
-  // machine was suspended. Nothing is sent after it, and what was sent and not
-  // yet received is taken back.
+  // Max time from the creation of the call to the response head, including time
+  // in which the machine was suspended. After it nothing is sent, and bytes
+  // that the peer has not acknowledged are discarded.
   std::optional<Duration> whole_timeout = std::nullopt;
 };
 
@@ -63,22 +65,23 @@
   }
 };
 
-// In this project a co_await never stands behind "&&", "||" or "?:", and the
-// arguments of an awaited call hold no braced temporaries: GCC 12 builds wrong
-// code for both (seen as a crash on the first call and as a double free), and
-// rejects initializer lists inside coroutines.
+// GCC 12 generates wrong code for a co_await behind "&&", "||" or "?:" and for
+// braced temporaries in the arguments of an awaited call (seen as a crash on
+// the first call and as a double free), and rejects initializer lists inside
+// coroutines. This code base uses none of these.
 
-// Calls HTTP/1.1 servers, by Boost.Beast, on the thread that runs `io`.
-// Keeps a few idle connections for each address.
+// HTTP/1.1 client with Boost.Beast, on the thread that runs `io`. Keeps a
+// bounded number of idle connections for each address.
 class HttpClient {
  public:
   explicit HttpClient(boost::asio::io_context& io);
   ~HttpClient();
 
-  // A call that is not begun yet, so that it can be cancelled at any time;
-  // never null. Thread: the one that runs `io`.
+  // Creates a call without starting it, so that it can be cancelled at any
+  // time; never null. Thread: the one that runs `io`.
   std::shared_ptr<HttpStream> Prepare(const HttpCall& call);
-  // Sends and reads everything. Thread: the one that runs `io`.
+  // Sends the request and reads the complete response. Thread: the one that
+  // runs `io`.
   boost::asio::awaitable<HttpResult> Fetch(const HttpCall& call);
 
  private:
@@ -86,7 +89,8 @@
   std::shared_ptr<Impl> impl_;
 };
 
-// A blocking call on a context of its own, for command lines and tests.
+// Runs a blocking call on an io_context of its own, for command lines and
+// tests.
 HttpResult FetchBlocking(const HttpCall& call);
 
 }  // namespace applehall
--- a/drivers/http_message.h
+++ b/drivers/http_message.h
@@ -9,9 +9,9 @@
 // Header fields; names in lower case.
 using HttpHeaders = std::map<std::string, std::string>;
 
-// Adds a field as it was read. Several fields of one name are a list (RFC 9110
-// section 5.3): kept apart, the last one would hide the others. Of cookies that
-// an answer sets the last counts. Requires: `name` in lower case. Not
+// Adds a received field. Fields of the same name are joined to a list (RFC 9110
+// section 5.3), as the last one would otherwise replace the others. Of several
+// set-cookie fields only the last is kept. Requires: `name` in lower case. Not
 // thread-safe.
 inline void AddHeader(const std::string& name, const std::string& value,
                       HttpHeaders& headers) {
--- a/drivers/http_server.cc
+++ b/drivers/http_server.cc
@@ -44,8 +44,9 @@
   return request;
 }
 
-// Tells whether the peer closes while nobody reads its connection. Lives as
-// long as the wait, which outlasts the exchange by one turn of the loop.
+// Detects that the peer closes its connection while no read is pending. Kept
+// alive by its wait, which ends one iteration of the event loop after the
+// exchange.
 struct PeerWatch : std::enable_shared_from_this<PeerWatch> {
   asio::cancellation_signal cancel;
   std::function<void()> on_gone;
@@ -62,7 +63,7 @@
               char byte = 0;
               const auto size = ::recv(socket.native_handle(), &byte, 1,
                                        MSG_PEEK | MSG_DONTWAIT);
-              // More bytes are the next request; it waits its turn.
+              // These bytes belong to the next request, which is read later.
               if (size > 0) return;
               self->is_gone = true;
               if (self->on_gone) self->on_gone();
@@ -150,7 +151,7 @@
 
   void Abort() override { is_ok_ = false; }
 
-  // The connection can take another request.
+  // True if the connection can serve another request.
   bool can_go_on() const { return is_complete_ && keep_alive_; }
 
  private:
@@ -203,14 +204,14 @@
       auto [error, socket] = co_await self->acceptor_.async_accept(kToken);
       if (error == asio::error::operation_aborted) co_return;
       if (error) {
-        // Out of descriptors, say: wait for some to be closed.
+        // For example out of file descriptors: retry after some were closed.
         asio::steady_timer pause(self->io_, std::chrono::milliseconds(50));
         co_await pause.async_wait(kToken);
         continue;
       }
       if (self->open_ >= self->limits_.connections) {
         ++self->refused_;
-        continue;  // Closed by leaving the scope.
+        continue;  // The socket's destructor closes it.
       }
       error_code ignored;
       socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -277,7 +278,7 @@
                error == beast::error::timeout ||
                error.category() !=
                    http::make_error_code(http::error::bad_version).category()) {
-      co_return;  // Nobody is there to read an answer.
+      co_return;  // The peer disconnected or timed out.
     } else {
       answer = LimitRefusal(400, "malformed_http");
     }
--- a/drivers/http_server.h
+++ b/drivers/http_server.h
@@ -13,7 +13,7 @@
 
 namespace applehall {
 
-// Bounds on all that a peer can make grow.
+// Limits on the resources that a peer can use.
 struct HttpServerLimits {
   size_t header_bytes = 16 * 1024;
   size_t body_bytes = 4 * 1024 * 1024;
@@ -23,37 +23,39 @@
   Duration write_timeout = std::chrono::seconds(30);
 };
 
-// One request and its one response. Belongs to the server's thread.
+// One request and its response. Thread: the server's.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
 
   virtual const HttpRequest& request() const = 0;
-  // True once the peer closed its side while the handler was at work.
+  // True once the peer closed its side while the handler was running.
   virtual bool is_peer_gone() const = 0;
-  // Called at most once, when the peer closes before the response is done.
-  // Requires: set before the first await. Thread: the server's.
+  // Sets a callback that runs at most once, when the peer closes before the
+  // response is complete. Requires: set before the first await. Thread: the
+  // server's.
   virtual void SetOnPeerGone(std::function<void()> callback) = 0;
 
-  // Each is false if the peer is gone or too slow. Requires: either one
-  // Respond(), or BeginStream(), any number of Write() and EndStream().
+  // Each returns false if the peer disconnected or timed out. Requires: either
+  // one Respond(), or BeginStream(), any number of Write() and EndStream().
   virtual boost::asio::awaitable<bool> Respond(HttpResponse&& response) = 0;
   virtual boost::asio::awaitable<bool> BeginStream(
       int status, const HttpHeaders& headers) = 0;
   virtual boost::asio::awaitable<bool> Write(const std::string& data) = 0;
   virtual boost::asio::awaitable<bool> EndStream() = 0;
-  // Closes without an end, so that the peer sees the answer is not whole.
+  // Closes the connection without ending the response, so that the peer detects
+  // an incomplete response.
   virtual void Abort() = 0;
 };
 
 using HttpHandler =
     std::function<boost::asio::awaitable<void>(HttpExchange& exchange)>;
 
-// Serves HTTP/1.1 on one address, by Boost.Beast, on the thread that runs
+// HTTP/1.1 server on one address with Boost.Beast, on the thread that runs
 // `io`.
 class HttpServer {
  public:
-  // Binds at once; port 0 lets the kernel choose. Throws
+  // Binds immediately; with port 0 the kernel chooses the port. Throws
   // boost::system::system_error if the address cannot be bound.
   HttpServer(boost::asio::io_context& io, const Address& address,
              HttpHandler handler, HttpServerLimits limits);
@@ -61,15 +63,14 @@
 
   // The bound port. Thread-safe.
   uint16_t port() const;
-  // For requests read from now on. Thread: the server's.
+  // Sets the limits for requests read from now on. Thread: the server's.
   void SetLimits(const HttpServerLimits& limits);
-  // Answers from now on ask the peer to close the connection. Thread: the
-  // server's.
+  // Sends "Connection: close" with all further responses. Thread: the server's.
   void CloseAfterAnswers();
-  // Takes no new connections; open ones go on. Requires: called on the
+  // Accepts no new connections; open ones continue. Requires: called on the
   // server's thread.
   void StopAccepting();
-  // Connections refused because of the limit. Thread-safe.
+  // Number of connections refused because of the limit. Thread-safe.
   uint64_t refused_connections() const;
 
  private:
--- a/drivers/io_thread.h
+++ b/drivers/io_thread.h
@@ -10,7 +10,8 @@
 
 namespace applehall {
 
-// A thread for one duty of I/O, with a bounded queue of work from others.
+// A thread that runs one io_context, with a bounded queue of work from other
+// threads.
 class IoThread {
  public:
   explicit IoThread(size_t most_queued)
@@ -21,13 +22,13 @@
   void Start() {
     thread_ = std::thread([this] { io_.run(); });
   }
-  // Drops what is queued. Thread: the owner's.
+  // Stops the thread and drops queued work. Thread: the owner's.
   void Stop() {
     io_.stop();
     if (thread_.joinable()) thread_.join();
   }
-  // Runs `work` on the thread; false, and nothing runs, if the queue is full.
-  // Thread-safe.
+  // Runs `work` on the thread. Returns false, and drops `work`, if the queue is
+  // full. Thread-safe.
   template <typename Work>
   bool TryPost(Work work) {
     if (queued_.fetch_add(1) >= most_queued_) {
--- a/drivers/platform_client.cc
+++ b/drivers/platform_client.cc
@@ -113,7 +113,7 @@
         co_await Sleep(thread_.io(), kNotReaderWait);
         continue;
       }
-      // Peers may have told more than this host read itself.
+      // Skips records that this host has already received from peers.
       from = std::max(from, decisions_.control_offset());
     }
     const std::string target = absl::StrCat(
@@ -141,8 +141,8 @@
   std::string tag;
   while (true) {
     HttpCall call = MakeCall(addresses_.hosts, "GET", target, "", kReadTimeout);
-    // Unchanged lists are not sent again: at thousands of hosts they would be
-    // most of what a host receives.
+    // Unchanged lists are not sent again: with thousands of hosts they would be
+    // most of the traffic that a host receives.
     if (!tag.empty()) call.request.headers["if-none-match"] = tag;
     const HttpResult result = co_await client_.Fetch(call);
     const HttpHeaders& headers = result.response.headers;
@@ -181,7 +181,7 @@
   const bool is_posted = thread_.TryPost([this, action] {
     asio::co_spawn(thread_.io(), RunAppend(action), asio::detached);
   });
-  // The channel may be full as well; the writer's own timeout covers that.
+  // If the channel is full too, the writer's timeout ends the append.
   if (!is_posted)
     (void)decisions_.TryPush(AppendEnded{action.record_id, false});
 }
--- a/drivers/platform_client.h
+++ b/drivers/platform_client.h
@@ -16,8 +16,8 @@
   Address store;
 };
 
-// Talks to the log service, the host list and the weight store's catalogue,
-// and turns what they say into events.
+// Client of the log service, the host list and the weight store's catalogue;
+// reports their responses as events.
 class PlatformClient {
  public:
   PlatformClient(PlatformAddresses addresses, std::string data_centre,
@@ -26,7 +26,7 @@
   // Thread: the owner's.
   void Start();
   void Stop();
-  // Appends a record; its end comes back as an event. Thread-safe.
+  // Appends a record; the result is reported as an event. Thread-safe.
   void Append(const AppendRecord& action);
 
  private:
@@ -36,7 +36,7 @@
   Task FollowHosts();
   Task FollowCatalogue();
   Task RunAppend(AppendRecord action);
-  // Hands an event over; waits while the channel is full.
+  // Pushes an event to the decision thread; waits while its channel is full.
   Task Deliver(const Event& event);
   HttpCall MakeCall(const Address& address, const std::string& method,
                     const std::string& target, std::string body,
@@ -49,7 +49,8 @@
   HttpClient client_;
 };
 
-// Reads a log answer; nothing if it is not one. Thread-safe.
+// Parses a response of the log service; nothing if it is malformed.
+// Thread-safe.
 std::optional<LogBatch> ParseLogBatch(const std::string& stream,
                                       const std::string& body);
 // Parses the store's catalogue. Thread-safe.
--- a/drivers/server_probe.cc
+++ b/drivers/server_probe.cc
@@ -11,8 +11,9 @@
 
 namespace {
 
-// A machine that is there refuses within a round trip, 3 ms at most between
-// data centres; silence this long tells nothing of the server.
+// A running machine refuses a connection within one round trip, at most 3 ms
+// between data centres. Without a response in this time the state of the server
+// is unknown.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
 
 }  // namespace
--- a/drivers/server_probe.h
+++ b/drivers/server_probe.h
@@ -8,8 +8,8 @@
 
 namespace applehall {
 
-// Opens a connection to the server and closes it at once; sends nothing.
-// Thread: the one that runs `io`.
+// Checks whether the server listens: opens a connection and closes it without
+// sending anything. Thread: the one that runs `io`.
 boost::asio::awaitable<ServerProbed> RunProbe(boost::asio::io_context& io,
                                               ProbeServer probe);
 
--- a/drivers/socket_options.cc
+++ b/drivers/socket_options.cc
@@ -13,7 +13,7 @@
 constexpr int kUnacknowledgedMillis = 3000;
 
 void Set(int socket, int level, int option, int value) {
-  // An option that the kernel refuses leaves its default; the connection works.
+  // If the kernel rejects an option, its default stays; the connection works.
   (void)setsockopt(socket, level, option, &value, sizeof(value));
 }
 
@@ -29,7 +29,7 @@
 
 void DiscardOnClose(int socket, bool discard) {
   const linger option{discard ? 1 : 0, 0};
-  // Refused by the kernel, the close is an ordinary one.
+  // If the kernel rejects the option, the connection closes normally.
   (void)setsockopt(socket, SOL_SOCKET, SO_LINGER, &option, sizeof(option));
 }
 
--- a/drivers/turn_queue.h
+++ b/drivers/turn_queue.h
@@ -9,11 +9,11 @@
 
 namespace applehall {
 
-// Bulk work of an event loop, one item a turn.
+// Queue of bulk work that an event loop handles one item per iteration.
 //
-// Handlers that are ready run in the order in which they became so. With each
-// item a handler of its own, a burst of them would run before a socket is
-// looked at again, and callers that close would be noticed after all of it.
+// An event loop runs all ready handlers in order before it polls its sockets
+// again. With one posted handler per item, a burst of items would delay socket
+// events, such as the disconnect of a caller, until all items are handled.
 template <typename T>
 class TurnQueue {
  public:
@@ -23,8 +23,8 @@
             std::function<void(T)> take)
       : io_(io), capacity_(capacity), take_(std::move(take)) {}
 
-  // Adds an item; false if there was no room and the oldest was dropped for it.
-  // Thread: the one that runs `io`.
+  // Adds an item. Returns false if the queue was full and its oldest item was
+  // dropped. Thread: the one that runs `io`.
   bool Push(T item) {
     items_.push_back(std::move(item));
     const bool has_room = items_.size() <= capacity_;
@@ -33,7 +33,7 @@
     return has_room;
   }
 
-  // Items that wait. Thread: the one that runs `io`.
+  // Number of queued items. Thread: the one that runs `io`.
   size_t size() const { return items_.size(); }
 
  private:
@@ -47,7 +47,7 @@
     is_scheduled_ = false;
     T item = std::move(items_.front());
     items_.pop_front();
-    // First, as the item may add others.
+    // Scheduled first, as handling the item may push others.
     Schedule();
     take_(std::move(item));
   }
--- a/drivers/websocket_link.cc
+++ b/drivers/websocket_link.cc
@@ -99,7 +99,7 @@
   void Send(const std::string& host, const std::string& address,
             std::vector<uint8_t> bytes) {
     if (queued_ >= settings_.most_queued_messages) {
-      // The link thread is behind; what is lost is sent anew by its sender.
+      // The link thread is overloaded; senders repeat what is lost.
       ++dropped_;
       return;
     }
@@ -125,8 +125,8 @@
     bool is_outgoing = false;
     bool is_open = false;
     bool is_proven = false;
-    bool is_full = false;  // The last message found no room.
-    std::string host;      // Known from the start on outgoing links.
+    bool is_full = false;  // The last message exceeded the buffer.
+    std::string host;      // Set from the start on outgoing links.
     std::string challenge;
     std::deque<std::vector<uint8_t>> waiting;
   };
@@ -212,7 +212,7 @@
       return;
     }
     if (!link->is_proven) {
-      Reject(link, "message before proof");
+      Reject(link, "message before authentication");
       return;
     }
     ++received_;
@@ -227,14 +227,14 @@
     const std::string hello = kHelloPrefix;
     const std::string proof = kProofPrefix;
     if (link->is_proven || text.size() > kMostHandshakeBytes) {
-      Reject(link, "unexpected text");
+      Reject(link, "unexpected handshake message");
     } else if (text.compare(0, hello.size(), hello) == 0) {
       const auto space = text.find(' ', hello.size());
       const std::string name = text.substr(hello.size(), space - hello.size());
       const bool is_expected = !link->is_outgoing || name == link->host;
       if (space == std::string::npos || name.empty() ||
           name == settings_.self || !is_expected) {
-        Reject(link, "another host answers: " + name);
+        Reject(link, "unexpected host in hello: " + name);
         return;
       }
       link->host = name;
@@ -250,7 +250,7 @@
       }
       Proven(link);
     } else {
-      Reject(link, "unknown handshake");
+      Reject(link, "unknown handshake message");
     }
   }
 
@@ -308,8 +308,8 @@
                   websocketpp::lib::error_code& error) {
     const auto connection = endpoint.get_con_from_hdl(handle, error);
     if (error) return;
-    // A peer that is cut off takes nothing, while TCP still counts the link as
-    // open; what is queued for it must not grow.
+    // An unreachable peer reads nothing while TCP still reports the link as
+    // open; its send buffer must not grow.
     if (connection->get_buffered_amount() > settings_.most_message_bytes) {
       error = websocketpp::error::make_error_code(
           websocketpp::error::send_queue_full);
@@ -359,8 +359,8 @@
   std::thread thread_;
   uint16_t port_ = 0;
   std::map<Handle, LinkPtr, std::owner_less<Handle>> links_;
-  std::map<std::string, LinkPtr> by_host_;   // Proven links.
-  std::map<std::string, LinkPtr> dialling_;  // Not proven yet.
+  std::map<std::string, LinkPtr> by_host_;   // Authenticated links.
+  std::map<std::string, LinkPtr> dialling_;  // Not authenticated yet.
   std::atomic<std::size_t> queued_{0};
   std::atomic<uint64_t> sent_{0};
   std::atomic<uint64_t> bytes_sent_{0};
--- a/drivers/websocket_link.h
+++ b/drivers/websocket_link.h
@@ -1,8 +1,8 @@
 #ifndef APPLEHALL_DRIVERS_WEBSOCKET_LINK_H_
 #define APPLEHALL_DRIVERS_WEBSOCKET_LINK_H_
 
-// Standard headers only: its source is the one translation unit in C++17,
-// because websocketpp does not compile as C++20.
+// Includes standard headers only: websocket_link.cc is the one translation unit
+// in C++17, because websocketpp does not compile as C++20.
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -26,19 +26,20 @@
 
 // Links to other hosts by WebSocket, on a thread of its own.
 //
-// Both ends prove that they hold the shared key before the first message: each
-// sends a random challenge and answers the other's with an HMAC over it and
-// its own name. A link that fails this, or sends what is malformed, is closed.
+// Both sides authenticate with the shared key before the first message: each
+// sends a random challenge and answers the other's with an HMAC over it and its
+// own name. A link that fails authentication or sends a malformed message is
+// closed.
 class WebsocketLink {
  public:
-  // True if the message was well-formed; else the link is closed.
+  // Returns true if the message is well-formed; otherwise the link is closed.
   using OnMessage = std::function<bool(const std::string& host,
                                        const std::vector<uint8_t>& bytes)>;
   using OnEvent =
       std::function<void(const std::string& event, const std::string& host,
                          const std::string& detail)>;
 
-  // Binds at once; throws std::exception if it cannot. The callbacks run on
+  // Binds immediately; throws std::exception on failure. The callbacks run on
   // the link's thread.
   WebsocketLink(WebsocketLinkSettings settings, OnMessage on_message,
                 OnEvent on_event);
@@ -47,13 +48,14 @@
   // Starts and stops the thread. Thread: the owner's.
   void Start();
   void Stop();
-  // Queues a message for `host`, dialling `address` ("IP:PORT") if there is no
-  // link. Dropped, and counted, if too much is queued. Thread-safe.
+  // Queues a message for `host` and dials `address` ("IP:PORT") if there is no
+  // link. The message is dropped and counted if the queue is full. Thread-safe.
   void Send(const std::string& host, const std::string& address,
             std::vector<uint8_t> bytes);
   // The bound port. Thread-safe.
   uint16_t port() const;
-  // Bytes and messages sent and received, drops, rejects. Thread-safe.
+  // Counts of bytes and messages sent and received, dropped messages, malformed
+  // messages and rejected links. Thread-safe.
   std::map<std::string, uint64_t> Counters() const;
 
  private:
--- a/main/applehalld.cc
+++ b/main/applehalld.cc
@@ -1,4 +1,4 @@
-// The one daemon, the same on every entry host.
+// The daemon of an entry host; all hosts run the same binary.
 
 #include <CLI/CLI.hpp>
 
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -53,10 +53,11 @@
 
 Refusal Overloaded() {
   return {Verdict::kNotRun, RefusalReason::kQueueFull,
-          "this host cannot take more now", std::chrono::seconds(1)};
+          "this host is overloaded", std::chrono::seconds(1)};
 }
 
-// The prompt's start tells requests that share a cached prefix.
+// Returns a hash of the start of the prompt, by which requests that share a
+// cached prefix are recognised; 0 without a prompt.
 uint64_t PrefixHash(const Json& body) {
   std::string prompt = FieldOr<std::string>(body, "prompt", "");
   if (body.contains("messages")) prompt = body["messages"].dump();
@@ -64,7 +65,7 @@
   return StableHash(prompt.substr(0, kPrefixBytes));
 }
 
-// Fills in what the path and the body say; an error if they say nothing.
+// Reads the service or model from path and body; an error if there is none.
 absl::Status ReadTarget(const HttpRequest& request, RequestArrived& event) {
   const std::string path = request.Path();
   event.facts.path = path;
@@ -77,7 +78,7 @@
     return absl::OkStatus();
   }
   if (path != "/v1/chat/completions" && path != "/v1/completions") {
-    return absl::NotFoundError("there is no such path");
+    return absl::NotFoundError("unknown path");
   }
   if (request.method != "POST") {
     return absl::InvalidArgumentError("the method must be POST");
@@ -100,7 +101,7 @@
   int64_t millis = 0;
   if (!absl::SimpleAtoi(text, &millis) || millis <= 0) {
     return absl::InvalidArgumentError(
-        "Applehall-Deadline-Ms must be a whole number above 0");
+        "Applehall-Deadline-Ms must be a positive integer");
   }
   event.deadline = std::chrono::milliseconds(millis);
   return absl::OkStatus();
@@ -166,7 +167,8 @@
       [this](const std::string& host, const std::vector<uint8_t>& bytes) {
         std::optional<PeerMessage> message = PeerMessage::Decode(bytes);
         if (!message) return false;
-        // A message that finds the channel full is lost like one on the wire.
+        // If the channel is full, the message is dropped, as if lost in
+        // transit.
         (void)decisions_.TryPush(
             PeerMessageReceived{host, *std::move(message)});
         return true;
@@ -237,7 +239,7 @@
   signals.async_wait(on_signal);
   const auto guard = asio::make_work_guard(main_io_);
   main_io_.run();
-  // The last answers are still on their way out of the callers' thread.
+  // Waits until the callers' thread has sent the last responses.
   for (int i = 0; i < 200; ++i) {
     {
       const std::lock_guard<std::mutex> lock(sessions_mutex_);
@@ -273,7 +275,7 @@
 
 void Daemon::On(const DispatchRequest& action) {
   std::shared_ptr<CallerSession> session = FindSession(action.handle);
-  // The caller left a moment ago; its CallerGone is on the way here.
+  // The caller has just disconnected; the event for it is still queued.
   if (!session) return;
   backends_.Dispatch(action, std::move(session));
 }
@@ -339,8 +341,8 @@
   event.facts.caller = request.Header("applehall-caller");
   if (event.facts.caller.empty()) event.facts.caller = kAnonymous;
   event.facts.headers = request.headers;
-  // Without the host's name, which rules do not look at and which is another
-  // one when a data centre forwards the request.
+  // Leaves out the Host header, which rules do not use and which changes when a
+  // data centre forwards the request.
   event.fingerprint = RequestFingerprint(
       {request.method, "", request.target, event.facts.caller, request.body});
   event.idempotency_key = request.Header("idempotency-key");
@@ -412,8 +414,8 @@
       case ReplyPart::Kind::kRefusal:
         if (exchange.is_peer_gone()) co_return;
         if (has_begun) {
-          // The head is out: an error event, and no proper end, tell the
-          // caller that its answer is not whole.
+          // The head has been sent: an error event and the missing end of the
+          // stream show the caller that its response is incomplete.
           co_await exchange.Write(ErrorEvent(part.rule, part.refusal));
           exchange.Abort();
           co_return;
@@ -494,7 +496,7 @@
       return node.Decisions(request).dump(2);
     };
   } else {
-    co_await exchange.Respond(PlainText(404, "there is no such path\n"));
+    co_await exchange.Respond(PlainText(404, "unknown path\n"));
     co_return;
   }
   std::string text = co_await Ask(operators_, query);
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -18,17 +18,18 @@
 
 namespace applehall {
 
-// One applehall process: a Node and a thread for each of its duties (callers,
-// operators, backend servers, peers, platform, decisions, log lines).
+// One applehall process: a Node with one thread each for callers, operators,
+// backend servers, peers, platform, decisions and log lines.
 class Daemon {
  public:
   // Binds all addresses; throws std::exception if one cannot be bound.
   explicit Daemon(DaemonSettings settings);
   ~Daemon();
 
-  // Runs until a drain is done. Thread: the main one.
+  // Runs until a drain has finished. Thread: the main one.
   void Run();
-  // Begins a drain, as SIGTERM does; once more changes nothing. Thread-safe.
+  // Starts a drain, as SIGTERM does; has no effect if one has started already.
+  // Thread-safe.
   void Drain();
   // The bound ports. Thread-safe.
   uint16_t callers_port() const { return caller_server_->port(); }
@@ -46,7 +47,8 @@
                   const std::string& request_id);
   // Operators' thread.
   Task HandleOperator(HttpExchange& exchange);
-  // Runs a query on the decision thread; empty if it is overloaded.
+  // Runs a query on the decision thread and returns its result; empty if the
+  // thread is overloaded.
   boost::asio::awaitable<std::string> Ask(
       IoThread& thread, const std::function<std::string(const Node&)>& query);
 
@@ -61,7 +63,7 @@
   void On(const SendPeer& action);
   void On(const SendPeers& action);
   void On(const Drained& action);
-  // Only fleets have a lease; this platform has groups.
+  // No-ops: only fleets have a lease; this platform has engine groups.
   void On(const ReadLease&) {}
   void On(const AppendLease&) {}
   void On(const FollowStore&) {}
--- a/main/daemon_settings.cc
+++ b/main/daemon_settings.cc
@@ -129,7 +129,7 @@
       static_cast<int>(reader.IntegerOr("engine_groups", 1, 1, 10000));
   settings.log_level = ReadLogLevel(reader);
   settings.addresses_file = reader.TextOr("addresses_file", "");
-  // Hosts that start in the same millisecond must not draw alike.
+  // Hosts that start in the same millisecond need different random sequences.
   settings.node.seed =
       StableHash(settings.node.self.host, settings.node.self.number);
   const Json& platform = reader.Raw("platform");
--- a/main/daemon_settings.h
+++ b/main/daemon_settings.h
@@ -13,7 +13,7 @@
 
 namespace applehall {
 
-// Everything a process is told at its start; from one JSON file.
+// Settings of a process, read from one JSON file at its start.
 struct DaemonSettings {
   NodeSettings node;
   Address callers;
@@ -23,12 +23,12 @@
   std::string shared_key;
   HttpServerLimits caller_limits;
   LogLevel log_level = LogLevel::kInfo;
-  // Where to write the bound addresses; empty for nowhere.
+  // File to write the bound addresses to; empty for none.
   std::string addresses_file;
 };
 
-// Checks every key. The error is one line that names file, key and what was
-// expected. Requires: nothing. Thread-safe.
+// Reads and checks all settings. The error is one line that names the file, the
+// key and the expected value. Requires: nothing. Thread-safe.
 absl::StatusOr<DaemonSettings> LoadDaemonSettings(const std::string& path);
 absl::StatusOr<DaemonSettings> ParseDaemonSettings(const std::string& path,
                                                    const std::string& text);
--- a/main/run_daemon.h
+++ b/main/run_daemon.h
@@ -13,10 +13,10 @@
 inline constexpr int kExitBadSettings = 2;
 inline constexpr int kExitCannotStart = 3;
 
-// Runs a daemon with its log to its end, or only checks its settings; the
-// result is the process's exit code. `run` gets the settings and returns when
-// the daemon has stopped; what it throws is why it could not start. Thread: the
-// main one, before any other has started.
+// Runs a daemon with its event log until it stops, or only checks its settings;
+// returns the exit code of the process. `run` gets the settings and returns
+// when the daemon has stopped; an exception from it means that the daemon could
+// not start. Thread: the main one, before any other has started.
 template <typename Settings, typename Run>
 int RunDaemon(const absl::StatusOr<Settings>& settings, bool check_only,
               const Run& run) {
--- a/tests/drivers/http_test.cc
+++ b/tests/drivers/http_test.cc
@@ -1,4 +1,5 @@
-// The HTTP drivers against each other on loopback, with what peers do wrong.
+// Tests of HTTP client, HTTP server and peer links on loopback, with faulty
+// peers.
 
 #include <gtest/gtest.h>
 
@@ -54,7 +55,7 @@
     return call;
   }
 
-  // Sends bytes as they are; what comes back until the server closes.
+  // Sends raw bytes; returns all that is received until the server closes.
   std::string SendRaw(const std::string& bytes) {
     asio::io_context io;
     asio::ip::tcp::socket socket(io);
@@ -102,10 +103,9 @@
   }
 }
 
-// A request goes into a connection whose peer is cut off; the caller gives up
-// after its timeout. Closed politely, the kernel would deliver the bytes when
-// the path is back, and the peer would act on what nobody stands for any more.
-// A peer that sees a reset has been told to discard them.
+// Guards against a timed-out request that the kernel still delivers when a
+// network partition ends, after the client has closed the connection normally.
+// A peer that receives a reset discards the bytes.
 TEST(HttpClientTest, GivenUpRequestIsTakenBack) {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io,
@@ -124,8 +124,7 @@
   EXPECT_EQ(error, asio::error::connection_reset) << error.message();
 }
 
-// The time for a whole call has passed before anything was sent: the peer must
-// not see it.
+// Guards against a request that is sent after the timeout of the whole call.
 TEST(HttpClientTest, NothingIsSentAfterTheWholeTimeout) {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io,
@@ -136,8 +135,8 @@
   EXPECT_EQ(FetchBlocking(call).state, SendState::kNotSent);
 }
 
-// A caller opens a connection and never sends its header. It must not hold
-// the connection for ever.
+// Guards against a caller that holds a connection for ever by never completing
+// its header.
 TEST_F(HttpTest, SlowHeaderIsCutOff) {
   HttpServerLimits limits;
   limits.header_timeout = std::chrono::milliseconds(50);
@@ -145,8 +144,7 @@
   EXPECT_EQ(SendRaw("GET / HTTP/1.1\r\nHost: "), "");
 }
 
-// More connections than allowed: those past the limit are closed at once,
-// the others go on.
+// Connections past the limit are closed at once; open ones continue.
 TEST_F(HttpTest, ConnectionsAreLimited) {
   HttpServerLimits limits;
   limits.connections = 1;
@@ -155,7 +153,7 @@
   asio::ip::tcp::socket first(io);
   first.connect({asio::ip::make_address("127.0.0.1"), server_->port()});
   asio::write(first, asio::buffer(std::string("POST / HTTP/1.1\r\n")));
-  // The first connection is open for sure once a second one is refused.
+  // A refused second connection proves that the first was accepted.
   HttpResult second = FetchBlocking(Call("/x", "a"));
   for (int i = 0; i < 100 && second.is_ok(); ++i) {
     second = FetchBlocking(Call("/x", "a"));
@@ -167,8 +165,7 @@
   EXPECT_EQ(answer, "HTTP/1.1 200");
 }
 
-// The server breaks amid a stream. The client must not take the half for the
-// whole.
+// Guards against a truncated response that the client reports as complete.
 TEST_F(HttpTest, BrokenStreamIsNotWhole) {
   StartServer({});
   const HttpResult result = FetchBlocking(Call("/broken", ""));
@@ -186,7 +183,7 @@
   EXPECT_EQ(FetchBlocking(call).state, SendState::kNotSent);
 }
 
-// Two links, and what each was told; a test waits for what it expects.
+// Two links with the messages and events that each received.
 class WebsocketLinkTest : public testing::Test {
  protected:
   struct End {
@@ -253,7 +250,7 @@
   b.link->Stop();
 }
 
-// A host with another key must not be listened to.
+// Guards against messages from a host with another shared key.
 TEST_F(WebsocketLinkTest, WrongKeyIsRefused) {
   End a;
   End b;
--- a/tests/drivers/turn_queue_test.cc
+++ b/tests/drivers/turn_queue_test.cc
@@ -11,8 +11,8 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// Guards against callers whose close is noticed only after a burst of messages
-// from other hosts.
+// Guards against a caller's disconnect that is handled only after a whole burst
+// of messages from other hosts.
 TEST(TurnQueueTest, SocketIsNoticedAmidABurst) {
   asio::io_context io;
   tcp::acceptor acceptor(io,
@@ -26,14 +26,14 @@
       tcp::socket::wait_read,
       [&](const boost::system::error_code&) { taken_at_close = taken; });
   TurnQueue<int> queue(io, 1000, [&](int) {
-    // The caller leaves while the first message is worked on.
+    // The caller disconnects while the first message is handled.
     if (taken++ == 0) caller.close();
   });
   for (int i = 0; i < 500; ++i) EXPECT_TRUE(queue.Push(i));
   io.run();
   EXPECT_EQ(taken, 500);
   EXPECT_GT(taken_at_close, 0);
-  EXPECT_LT(taken_at_close, 500) << "all messages went first";
+  EXPECT_LT(taken_at_close, 500) << "handled after all messages";
 }
 
 TEST(TurnQueueTest, KeepsOrderAndDropsTheOldestWithoutRoom) {
--- a/tests/main/daemon_test.cc
+++ b/tests/main/daemon_test.cc
@@ -116,7 +116,8 @@
         Send(*ParseAddress(platform_), "GET", "/truth", "", {}).response.body);
   }
 
-  // Asks until it holds; the tests' own time limit ends a wait in vain.
+  // Polls until `condition` holds; otherwise the time limit of the test run
+  // ends the wait.
   static void Await(const std::function<bool()>& condition) {
     while (!condition()) {
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -131,7 +132,7 @@
       const Address operators{"127.0.0.1", daemon->operators_port()};
       Await([&] { return Send(operators, "GET", "/readyz", "", {}).is_ok(); });
     }
-    // A door answers once the claims stream was read.
+    // Door requests succeed once the host has read the claims stream.
     Await([&] { return OpenDoor("entry-1", NewKey()).is_ok(); });
     Await([&] { return OpenDoor("entry-2", NewKey()).is_ok(); });
   }
@@ -151,7 +152,8 @@
         .dump();
   }
 
-  // The content of a stream's events, or empty if it has no proper end.
+  // Returns the content of a stream's events; empty if the stream is
+  // incomplete.
   static std::string StreamContent(const std::string& body) {
     std::string content;
     size_t at = 0;
@@ -181,9 +183,8 @@
   std::vector<std::thread> threads_;
 };
 
-// Forty callers at two hosts, whole answers and streams, while the engines'
-// answers to some are held back past those that came later. Each must get the
-// answer to its own request.
+// Guards against responses sent to the wrong caller: engines hold back some
+// responses past later ones, whole and streamed, for 40 callers at two hosts.
 TEST_F(DaemonTest, CrossedAnswersReachTheirOwnCallers) {
   PublishAndAwaitReady();
   for (const char* engine : {"engine-1", "engine-2"}) {
@@ -215,8 +216,8 @@
   EXPECT_EQ(right, 40);
 }
 
-// The engine breaks a stream midway. It can go on where it broke, so the
-// caller must get the whole answer, without a gap and without a doubled word.
+// The engine breaks a stream midway and can resume it: the caller must get the
+// complete response, without gaps or repeated words.
 TEST_F(DaemonTest, BrokenStreamIsResumed) {
   PublishAndAwaitReady();
   const std::string body = ChatBody("model-1", "tell me", true);
@@ -228,7 +229,8 @@
   EXPECT_EQ(StreamContent(result.response.body), Expected("model-1", body));
 }
 
-// A host is drained with thirty requests open, most for cold models.
+// Guards against requests cut by a drain: thirty are open, most for cold
+// models.
 TEST_F(DaemonTest, DrainUnderLoadCutsNone) {
   PublishAndAwaitReady();
   std::vector<std::thread> callers;
@@ -257,7 +259,7 @@
       << whole << " whole, " << refused << " refused as not run";
 }
 
-// A kiosk repeats a door-open at the other host.
+// Guards against a second run of a request that is repeated at another host.
 TEST_F(DaemonTest, RepeatedKeyIsAnsweredWith409) {
   PublishAndAwaitReady();
   const std::string key = NewKey();
@@ -269,7 +271,7 @@
   EXPECT_EQ(OpenDoor("entry-1", "door-7").response.status, 400);
 }
 
-// The log takes the operator's record, and its answer is lost.
+// The log appends the operator's record, but its response is lost.
 TEST_F(DaemonTest, PublishWithALostAnswerIsSettled) {
   PublishAndAwaitReady();
   std::ofstream(rules_path_) << TestRules("second").dump();
@@ -307,8 +309,8 @@
   EXPECT_EQ(status("/services/unknown/x", "{}"), 503);
 }
 
-// Every answer and every refusal names the rule that decided it, and the
-// decision can be looked up by the request's id.
+// Responses name the rule that decided them, and the decision can be looked up
+// by the request id.
 TEST_F(DaemonTest, DecisionsAreTracedToTheirRule) {
   PublishAndAwaitReady();
   const HttpResult result =
@@ -319,8 +321,8 @@
   EXPECT_EQ(result.response.headers.at("x-request-id"), "my-request");
   const Address operators{"127.0.0.1",
                           daemons_.at("entry-1")->operators_port()};
-  // The answer's last bytes leave on another thread than the decision's record
-  // is made on, so the caller may ask before it stands.
+  // The response is sent and the decision recorded on different threads, so the
+  // record may not exist yet.
   absl::StatusOr<Json> decisions;
   Await([&] {
     decisions = ParseJson(
