--- a/drivers/backend_client.cc
+++ b/drivers/backend_client.cc
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr size_t kMostQueuedActions = 32768;
+constexpr size_t kMaxQueuedActions = 32768;
 constexpr Duration kOrderTimeout = std::chrono::seconds(3);
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(1000);
 // Max time between two chunks of a response; after it the attempt is broken.
-constexpr Duration kStreamSilence = std::chrono::seconds(15);
+constexpr Duration kStreamIdleTimeout = std::chrono::seconds(15);
 constexpr Duration kFullChannelWait = std::chrono::milliseconds(1);
 
 // Maps an error response of a backend server to the result of the attempt.
@@ -43,7 +43,7 @@
 }
 
 // Returns the body with its model replaced by the one that the rule chose.
-std::string BodyFor(const std::string& body, const std::string& model) {
+std::string ReplaceModel(const std::string& body, const std::string& model) {
   absl::StatusOr<Json> json = ParseJson(body);
   if (!json.ok() || !json->is_object()) return body;
   if (FieldOr<std::string>(*json, "model", "") == model) return body;
@@ -71,7 +71,7 @@
     : data_centre_(std::move(data_centre)),
       shared_key_(std::move(shared_key)),
       decisions_(decisions),
-      thread_(kMostQueuedActions),
+      thread_(kMaxQueuedActions),
       client_(thread_.io()) {}
 
 void BackendClient::Start() { thread_.Start(); }
@@ -89,7 +89,7 @@
     // Registered before its coroutine starts: Cancel() may run first.
     const std::shared_ptr<HttpStream> stream =
         client_.Prepare(MakeCall(action, *session));
-    open_[{action.handle, action.attempt}] = stream;
+    attempts_[{action.handle, action.attempt}] = stream;
     asio::co_spawn(thread_.io(), RunAttempt(action, stream, session),
                    asio::detached);
   });
@@ -100,8 +100,8 @@
 
 void BackendClient::Cancel(RequestHandle handle, int attempt) {
   (void)thread_.TryPost([this, handle, attempt] {
-    const auto it = open_.find({handle, attempt});
-    if (it != open_.end()) it->second->Cancel();
+    const auto it = attempts_.find({handle, attempt});
+    if (it != attempts_.end()) it->second->Cancel();
   });
 }
 
@@ -119,8 +119,9 @@
   call.request.headers["applehall-priority"] =
       action.is_background ? "background" : "urgent";
   call.connect_timeout = kConnectTimeout;
-  const Duration left = action.deadline - clock_.Now();
-  call.header_timeout = std::max<Duration>(left, std::chrono::milliseconds(1));
+  const Duration time_left = action.deadline - clock_.Now();
+  call.header_timeout =
+      std::max<Duration>(time_left, std::chrono::milliseconds(1));
   // An idle connection may already be closed by the peer, which shows only when
   // the request on it is lost.
   call.fresh_connection = action.is_claimed;
@@ -129,7 +130,7 @@
         std::to_string(session.delivered_events);
   }
   if (action.kind == BackendKind::kEngine) {
-    call.request.body = BodyFor(call.request.body, action.model);
+    call.request.body = ReplaceModel(call.request.body, action.model);
   } else if (action.kind == BackendKind::kService) {
     // The service receives "/services/NAME/rest" as "/rest".
     const auto name_end = call.request.target.find('/', 10);
@@ -140,7 +141,7 @@
     const std::string id = session.request().Header("x-request-id");
     call.request.headers["applehall-forwarded"] = ForwardProof(shared_key_, id);
     call.request.headers["applehall-deadline-ms"] =
-        std::to_string(std::max<int64_t>(1, ToMillis(left)));
+        std::to_string(std::max<int64_t>(1, ToMillis(time_left)));
   }
   return call;
 }
@@ -148,12 +149,12 @@
 asio::awaitable<void> BackendClient::RunAttempt(
     DispatchRequest action, std::shared_ptr<HttpStream> stream,
     std::shared_ptr<CallerSession> session) {
-  const Event ended = co_await Attempt(action, *stream, *session);
-  open_.erase({action.handle, action.attempt});
+  const Event ended = co_await ExecuteAttempt(action, *stream, *session);
+  attempts_.erase({action.handle, action.attempt});
   co_await Deliver(ended);
 }
 
-asio::awaitable<AttemptEnded> BackendClient::Attempt(
+asio::awaitable<AttemptEnded> BackendClient::ExecuteAttempt(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   if (session.is_closed()) {
     co_return EndOf(action, AttemptResult::kNotSent,
@@ -169,17 +170,17 @@
   const auto type = stream.head().headers.find("content-type");
   const bool is_stream = type != stream.head().headers.end() &&
                          type->second.starts_with("text/event-stream");
-  if (is_stream) co_return co_await PassStream(action, stream, session);
-  co_return co_await PassWhole(action, stream, session);
+  if (is_stream) co_return co_await ForwardStream(action, stream, session);
+  co_return co_await ForwardResponse(action, stream, session);
 }
 
-asio::awaitable<AttemptEnded> BackendClient::PassWhole(
+asio::awaitable<AttemptEnded> BackendClient::ForwardResponse(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   HttpResponse response = stream.head();
   while (!stream.is_whole()) {
-    const std::string piece = co_await stream.ReadSome(kStreamSilence);
-    response.body += piece;
-    if (piece.empty() && !stream.is_whole()) {
+    const std::string chunk = co_await stream.ReadSome(kStreamIdleTimeout);
+    response.body += chunk;
+    if (chunk.empty() && !stream.is_whole()) {
       co_return BrokenOff(action, stream.error(), stream.is_cut());
     }
   }
@@ -198,7 +199,7 @@
   co_return EndOf(action, AttemptResult::kCompleted, "");
 }
 
-asio::awaitable<AttemptEnded> BackendClient::PassStream(
+asio::awaitable<AttemptEnded> BackendClient::ForwardStream(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   if (!session.has_begun) {
     session.has_begun = true;
@@ -210,7 +211,7 @@
     const Event started = AttemptStarted{action.handle};
     co_await Deliver(started);
   }
-  const TimePoint begun_at = clock_.Now();
+  const TimePoint started_at = clock_.Now();
   std::string partial;
   while (!stream.is_whole()) {
     co_await session.AwaitRoom(thread_.io());
@@ -219,7 +220,7 @@
       co_return EndOf(action, AttemptResult::kBroken,
                       "the caller disconnected");
     }
-    partial += co_await stream.ReadSome(kStreamSilence);
+    partial += co_await stream.ReadSome(kStreamIdleTimeout);
     std::string events = TakeWholeEvents(partial);
     if (!events.empty()) {
       session.delivered_events += CountEvents(events);
@@ -227,7 +228,7 @@
     }
     if (stream.is_whole() || stream.error().empty()) continue;
     AttemptEnded broken = BrokenOff(action, stream.error(), stream.is_cut());
-    broken.answered_for = clock_.Now() - begun_at;
+    broken.answered_for = clock_.Now() - started_at;
     broken.has_delivered = true;
     broken.can_resume = stream.head().headers.contains("applehall-can-resume");
     co_return broken;
@@ -240,13 +241,13 @@
 void BackendClient::Probe(const ProbeServer& action) {
   // If the queue is full, the server's state is reported as unknown.
   const bool is_posted = thread_.TryPost([this, action] {
-    asio::co_spawn(thread_.io(), RunProbeOf(action), asio::detached);
+    asio::co_spawn(thread_.io(), ProbeAndReport(action), asio::detached);
   });
   if (is_posted) return;
   (void)decisions_.TryPush(ServerProbed{action.server});
 }
 
-asio::awaitable<void> BackendClient::RunProbeOf(ProbeServer action) {
+asio::awaitable<void> BackendClient::ProbeAndReport(ProbeServer action) {
   const Event probed = co_await RunProbe(thread_.io(), action);
   co_await Deliver(probed);
 }
--- a/drivers/backend_client.h
+++ b/drivers/backend_client.h
@@ -36,17 +36,17 @@
 
   Task RunAttempt(DispatchRequest action, std::shared_ptr<HttpStream> stream,
                   std::shared_ptr<CallerSession> session);
-  boost::asio::awaitable<AttemptEnded> Attempt(const DispatchRequest& action,
-                                               HttpStream& stream,
-                                               CallerSession& session);
-  boost::asio::awaitable<AttemptEnded> PassWhole(const DispatchRequest& action,
-                                                 HttpStream& stream,
-                                                 CallerSession& session);
-  boost::asio::awaitable<AttemptEnded> PassStream(const DispatchRequest& action,
-                                                  HttpStream& stream,
-                                                  CallerSession& session);
+  boost::asio::awaitable<AttemptEnded> ExecuteAttempt(
+      const DispatchRequest& action, HttpStream& stream,
+      CallerSession& session);
+  boost::asio::awaitable<AttemptEnded> ForwardResponse(
+      const DispatchRequest& action, HttpStream& stream,
+      CallerSession& session);
+  boost::asio::awaitable<AttemptEnded> ForwardStream(
+      const DispatchRequest& action, HttpStream& stream,
+      CallerSession& session);
   Task RunOrder(SendOrder action);
-  Task RunProbeOf(ProbeServer action);
+  Task ProbeAndReport(ProbeServer action);
   Task Deliver(const Event& event);
   HttpCall MakeCall(const DispatchRequest& action,
                     const CallerSession& session) const;
@@ -58,7 +58,8 @@
   IoThread thread_;
   HttpClient client_;
   // Running attempts, for Cancel(). Thread: the backend's.
-  std::map<std::pair<RequestHandle, int>, std::shared_ptr<HttpStream>> open_;
+  std::map<std::pair<RequestHandle, int>, std::shared_ptr<HttpStream>>
+      attempts_;
 };
 
 // Returns the HMAC of a request id, which proves that the host that forwarded
--- a/drivers/caller_session.cc
+++ b/drivers/caller_session.cc
@@ -11,38 +11,38 @@
 namespace {
 
 // Interval at which a full buffer is checked for free space.
-constexpr Duration kSlowCallerPause = std::chrono::milliseconds(2);
+constexpr Duration kFreeSpaceCheckInterval = std::chrono::milliseconds(2);
 
 }  // namespace
 
 void CallerSession::Push(ReplyPart part) {
   if (is_closed_) return;
-  PushAlways(std::move(part));
+  PushUnchecked(std::move(part));
 }
 
-void CallerSession::PushAlways(ReplyPart part) {
-  bytes_waiting_ += part.data.size();
+void CallerSession::PushUnchecked(ReplyPart part) {
+  buffered_bytes_ += part.data.size();
   asio::post(io_,
              [self = shared_from_this(), part = std::move(part)]() mutable {
                self->parts_.push_back(std::move(part));
-               self->wake_.cancel();
+               self->part_added_.cancel();
              });
 }
 
 asio::awaitable<ReplyPart> CallerSession::Next() {
   while (parts_.empty()) {
-    wake_.expires_at(asio::steady_timer::time_point::max());
-    co_await wake_.async_wait(asio::as_tuple(asio::use_awaitable));
+    part_added_.expires_at(asio::steady_timer::time_point::max());
+    co_await part_added_.async_wait(asio::as_tuple(asio::use_awaitable));
   }
   ReplyPart part = std::move(parts_.front());
   parts_.pop_front();
-  bytes_waiting_ -= part.data.size();
+  buffered_bytes_ -= part.data.size();
   co_return part;
 }
 
 asio::awaitable<void> CallerSession::AwaitRoom(asio::io_context& backend_io) {
   while (is_full() && !is_closed()) {
-    co_await Sleep(backend_io, kSlowCallerPause);
+    co_await Sleep(backend_io, kFreeSpaceCheckInterval);
   }
 }
 
@@ -77,9 +77,9 @@
   left_at_ = now;
   Close();
   // Ends a pending Next(), whose caller treats a refusal as the end.
-  ReplyPart gone;
-  gone.kind = ReplyPart::Kind::kRefusal;
-  PushAlways(std::move(gone));
+  ReplyPart end;
+  end.kind = ReplyPart::Kind::kRefusal;
+  PushUnchecked(std::move(end));
 }
 
 }  // namespace applehall
--- a/drivers/caller_session.h
+++ b/drivers/caller_session.h
@@ -36,7 +36,10 @@
  public:
   CallerSession(boost::asio::io_context& io, uint64_t handle,
                 HttpRequest request)
-      : io_(io), wake_(io), handle_(handle), request_(std::move(request)) {}
+      : io_(io),
+        part_added_(io),
+        handle_(handle),
+        request_(std::move(request)) {}
 
   // Thread-safe. Parts pushed after Close() are ignored.
   void Push(ReplyPart part);
@@ -44,7 +47,7 @@
   void PushEnd();
   void PushRefusal(Refusal refusal, std::string rule);
   // True while too many bytes are buffered for the caller. Thread-safe.
-  bool is_full() const { return bytes_waiting_ > kMostBytesWaiting; }
+  bool is_full() const { return buffered_bytes_ > kMaxBufferedBytes; }
   bool is_closed() const { return is_closed_; }
 
   // Waits for the next part and returns it. Thread: the callers'.
@@ -71,16 +74,16 @@
 
  private:
   // Pushes a part even after Close(), to end a pending Next(). Thread-safe.
-  void PushAlways(ReplyPart part);
+  void PushUnchecked(ReplyPart part);
 
-  static constexpr size_t kMostBytesWaiting = 256 * 1024;
+  static constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
   boost::asio::io_context& io_;
-  boost::asio::steady_timer wake_;
+  boost::asio::steady_timer part_added_;
   uint64_t handle_;
   HttpRequest request_;
   std::deque<ReplyPart> parts_;
-  std::atomic<size_t> bytes_waiting_{0};
+  std::atomic<size_t> buffered_bytes_{0};
   std::atomic<bool> is_closed_{false};
   std::atomic<TimePoint> left_at_{TimePoint{}};
 };
--- a/drivers/decision_thread.cc
+++ b/drivers/decision_thread.cc
@@ -39,7 +39,7 @@
          boost::fibers::channel_op_status::success;
 }
 
-void DecisionThread::Take(Work work, std::vector<Action>& actions) {
+void DecisionThread::HandleWork(Work work, std::vector<Action>& actions) {
   if (const auto* query = std::get_if<Query>(&work)) {
     (*query)(*node_);
     return;
@@ -70,14 +70,14 @@
   });
   std::vector<Action> actions;
   Work work;
-  int since_publish = 0;
+  int events_since_publish = 0;
   while (inbox_.pop(work) == boost::fibers::channel_op_status::success) {
     const bool is_tick = std::holds_alternative<Event>(work) &&
                          std::holds_alternative<Tick>(std::get<Event>(work));
-    Take(std::move(work), actions);
-    if (is_tick || ++since_publish >= kEventsBetweenPublishes) {
+    HandleWork(std::move(work), actions);
+    if (is_tick || ++events_since_publish >= kEventsBetweenPublishes) {
       Publish();
-      since_publish = 0;
+      events_since_publish = 0;
     }
   }
   ticker.join();
--- a/drivers/decision_thread.h
+++ b/drivers/decision_thread.h
@@ -45,7 +45,7 @@
   using Work = std::variant<Event, Query>;
 
   void Run();
-  void Take(Work work, std::vector<Action>& actions);
+  void HandleWork(Work work, std::vector<Action>& actions);
   void Publish();
 
   NodeSettings settings_;
--- a/drivers/http_client.cc
+++ b/drivers/http_client.cc
@@ -21,17 +21,17 @@
 namespace {
 
 constexpr auto kToken = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kMostIdlePerAddress = 64;
-constexpr size_t kMostHeaderBytes = 64 * 1024;
+constexpr size_t kMaxIdlePerAddress = 64;
+constexpr size_t kMaxHeaderBytes = 64 * 1024;
 
 using StreamPtr = std::unique_ptr<beast::tcp_stream>;
 
 // For servers that do not send a keep-alive timeout.
-constexpr Duration kUntoldIdle = std::chrono::seconds(1);
+constexpr Duration kDefaultReuseTime = std::chrono::seconds(1);
 // Part of the server's keep-alive timeout in which a connection is reused: the
 // server's timer starts at another time, and its close must not cross a
 // request.
-constexpr double kTrustedIdleShare = 0.5;
+constexpr double kReuseTimeFraction = 0.5;
 
 bool IsStillOpen(beast::tcp_stream& stream) {
   char byte = 0;
@@ -41,15 +41,15 @@
 }
 
 // Returns how long a connection may be idle and still be reused.
-Duration TrustedIdle(std::string_view keep_alive) {
+Duration ReuseTime(std::string_view keep_alive) {
   const auto at = keep_alive.find("timeout=");
   int seconds = 0;
   if (at == std::string_view::npos ||
       std::sscanf(std::string(keep_alive.substr(at + 8)).c_str(), "%d",
                   &seconds) != 1) {
-    return kUntoldIdle;
+    return kDefaultReuseTime;
   }
-  return FromSeconds(seconds * kTrustedIdleShare);
+  return FromSeconds(seconds * kReuseTimeFraction);
 }
 
 bool IsPeerClose(const error_code& error) {
@@ -61,29 +61,30 @@
 
 class IdleConnections {
  public:
-  StreamPtr Take(const std::string& address) {
+  StreamPtr Acquire(const std::string& address) {
     const auto now = std::chrono::steady_clock::now();
     std::deque<Idle>& idle = idle_[address];
     while (!idle.empty()) {
       Idle last = std::move(idle.back());
       idle.pop_back();
-      if (last.use_until > now && IsStillOpen(*last.stream)) {
+      if (last.reusable_until > now && IsStillOpen(*last.stream)) {
         return std::move(last.stream);
       }
     }
     return nullptr;
   }
-  void Give(const std::string& address, StreamPtr stream, Duration trusted) {
+  void Release(const std::string& address, StreamPtr stream,
+               Duration reuse_time) {
     std::deque<Idle>& idle = idle_[address];
-    if (idle.size() >= kMostIdlePerAddress) return;
+    if (idle.size() >= kMaxIdlePerAddress) return;
     idle.push_back(
-        {std::move(stream), std::chrono::steady_clock::now() + trusted});
+        {std::move(stream), std::chrono::steady_clock::now() + reuse_time});
   }
 
  private:
   struct Idle {
     StreamPtr stream;
-    std::chrono::steady_clock::time_point use_until;
+    std::chrono::steady_clock::time_point reusable_until;
   };
   std::map<std::string, std::deque<Idle>> idle_;
 };
@@ -96,17 +97,17 @@
         idle_(std::move(idle)),
         call_(std::move(call)),
         address_(call_.address.ToString()),
-        begun_at_(clock_.Now()) {
-    parser_.header_limit(kMostHeaderBytes);
+        created_at_(clock_.Now()) {
+    parser_.header_limit(kMaxHeaderBytes);
     parser_.body_limit(boost::none);
   }
   ~BeastStream() override {
     if (is_whole_ && parser_.keep_alive() && buffer_.size() == 0 && stream_) {
       const auto keep_alive = head_.headers.find("keep-alive");
-      idle_->Give(
+      idle_->Release(
           address_, std::move(stream_),
-          TrustedIdle(keep_alive == head_.headers.end() ? ""
-                                                        : keep_alive->second));
+          ReuseTime(keep_alive == head_.headers.end() ? ""
+                                                      : keep_alive->second));
     }
   }
 
@@ -122,23 +123,23 @@
   }
 
   asio::awaitable<std::string> ReadSome(Duration timeout) override {
-    std::string piece = std::exchange(parser_.get().body(), {});
-    while (piece.empty() && !parser_.is_done()) {
+    std::string chunk = std::exchange(parser_.get().body(), {});
+    while (chunk.empty() && !parser_.is_done()) {
       stream_->expires_after(timeout);
       const auto [error, size] =
           co_await http::async_read_some(*stream_, buffer_, parser_, kToken);
-      piece = std::exchange(parser_.get().body(), {});
+      chunk = std::exchange(parser_.get().body(), {});
       if (!error || error == http::error::need_buffer) continue;
       if (parser_.is_done()) break;
       error_ = error.message();
       is_cut_ = IsPeerClose(error);
-      co_return piece;
+      co_return chunk;
     }
     if (parser_.is_done()) {
       is_whole_ = true;
       if (stream_) stream_->expires_never();
     }
-    co_return piece;
+    co_return chunk;
   }
 
   asio::awaitable<void> Start() override {
@@ -147,13 +148,13 @@
       error_ = "cancelled before it was sent";
       co_return;
     }
-    if (!call.fresh_connection) stream_ = idle_->Take(address_);
+    if (!call.fresh_connection) stream_ = idle_->Acquire(address_);
     if (!stream_) {
       const bool is_connected = co_await Connect(io_, call);
       if (!is_connected) co_return;
     }
     if (is_cancelled_) co_return;
-    if (IsOver()) {
+    if (IsTotalTimeoutOver()) {
       error_ = "timeout before the request was sent";
       co_return;
     }
@@ -164,19 +165,20 @@
 
  private:
   // Returns `timeout`, limited to the time left for the whole call.
-  Duration Within(Duration timeout) const {
+  Duration ClampToTotalTimeout(Duration timeout) const {
     if (!call_.whole_timeout) return timeout;
-    const Duration left = begun_at_ + *call_.whole_timeout - clock_.Now();
-    return std::clamp(left, Duration{0}, timeout);
+    const Duration time_left =
+        created_at_ + *call_.whole_timeout - clock_.Now();
+    return std::clamp(time_left, Duration{0}, timeout);
   }
-  bool IsOver() const {
+  bool IsTotalTimeoutOver() const {
     return call_.whole_timeout &&
-           clock_.Now() >= begun_at_ + *call_.whole_timeout;
+           clock_.Now() >= created_at_ + *call_.whole_timeout;
   }
 
   asio::awaitable<bool> Connect(asio::io_context& io, const HttpCall& call) {
     stream_ = std::make_unique<beast::tcp_stream>(io);
-    stream_->expires_after(Within(call.connect_timeout));
+    stream_->expires_after(ClampToTotalTimeout(call.connect_timeout));
     const asio::ip::tcp::endpoint endpoint(
         asio::ip::make_address(call.address.ip), call.address.port);
     const auto [error] = co_await stream_->async_connect(endpoint, kToken);
@@ -186,7 +188,7 @@
     }
     error_code ignored;
     stream_->socket().set_option(asio::ip::tcp::no_delay(true), ignored);
-    NoticeSilence(stream_->socket().native_handle());
+    EnableDeadPeerDetection(stream_->socket().native_handle());
     co_return true;
   }
 
@@ -209,8 +211,8 @@
     // owner that was superseded meanwhile, or work for a caller that has
     // disconnected. A reset discards them. A response head shows that the
     // request was received.
-    DiscardOnClose(stream_->socket().native_handle(), true);
-    stream_->expires_after(Within(call.header_timeout));
+    SetDiscardOnClose(stream_->socket().native_handle(), true);
+    stream_->expires_after(ClampToTotalTimeout(call.header_timeout));
     const auto [error, size] =
         co_await http::async_write(*stream_, message, kToken);
     if (!error) co_return true;
@@ -220,7 +222,7 @@
   }
 
   asio::awaitable<void> ReadHead(const HttpCall& call) {
-    stream_->expires_after(Within(call.header_timeout));
+    stream_->expires_after(ClampToTotalTimeout(call.header_timeout));
     const auto [error, size] =
         co_await http::async_read_header(*stream_, buffer_, parser_, kToken);
     if (error) {
@@ -229,7 +231,7 @@
       co_return;
     }
     state_ = SendState::kAnswered;
-    DiscardOnClose(stream_->socket().native_handle(), false);
+    SetDiscardOnClose(stream_->socket().native_handle(), false);
     head_.status = static_cast<int>(parser_.get().result_int());
     for (const auto& field : parser_.get()) {
       const std::string name = absl::AsciiStrToLower(absl::string_view(
@@ -243,7 +245,7 @@
   const HttpCall call_;
   std::string address_;
   const SystemClock clock_;
-  const TimePoint begun_at_;
+  const TimePoint created_at_;
   StreamPtr stream_;
   beast::flat_buffer buffer_;
   http::response_parser<http::string_body> parser_;
@@ -284,9 +286,9 @@
   if (result.state != SendState::kAnswered) co_return result;
   result.response = stream->head();
   while (!stream->is_whole()) {
-    const std::string piece = co_await stream->ReadSome(timeout);
-    result.response.body += piece;
-    if (piece.empty() && !stream->is_whole()) {
+    const std::string chunk = co_await stream->ReadSome(timeout);
+    result.response.body += chunk;
+    if (chunk.empty() && !stream->is_whole()) {
       result.state = SendState::kMayBeSent;
       result.error = stream->error();
       co_return result;
--- a/drivers/http_server.cc
+++ b/drivers/http_server.cc
@@ -47,10 +47,10 @@
 // Detects that the peer closes its connection while no read is pending. Kept
 // alive by its wait, which ends one iteration of the event loop after the
 // exchange.
-struct PeerWatch : std::enable_shared_from_this<PeerWatch> {
+struct PeerCloseWatcher : std::enable_shared_from_this<PeerCloseWatcher> {
   asio::cancellation_signal cancel;
-  std::function<void()> on_gone;
-  bool is_gone = false;
+  std::function<void()> on_disconnect;
+  bool is_disconnected = false;
   bool is_done = false;
 
   void Start(asio::ip::tcp::socket& socket) {
@@ -65,14 +65,14 @@
                                        MSG_PEEK | MSG_DONTWAIT);
               // These bytes belong to the next request, which is read later.
               if (size > 0) return;
-              self->is_gone = true;
-              if (self->on_gone) self->on_gone();
+              self->is_disconnected = true;
+              if (self->on_disconnect) self->on_disconnect();
             }));
   }
 
   void Stop() {
     is_done = true;
-    on_gone = nullptr;
+    on_disconnect = nullptr;
     cancel.emit(asio::cancellation_type::all);
   }
 };
@@ -86,15 +86,15 @@
         wants_keep_alive_(keep_alive),
         is_closing_(is_closing),
         limits_(limits),
-        watch_(std::make_shared<PeerWatch>()) {
+        watch_(std::make_shared<PeerCloseWatcher>()) {
     watch_->Start(stream_.socket());
   }
   ~BeastExchange() override { watch_->Stop(); }
 
   const HttpRequest& request() const override { return request_; }
-  bool is_peer_gone() const override { return watch_->is_gone; }
+  bool is_peer_gone() const override { return watch_->is_disconnected; }
   void SetOnPeerGone(std::function<void()> callback) override {
-    watch_->on_gone = std::move(callback);
+    watch_->on_disconnect = std::move(callback);
   }
 
   asio::awaitable<bool> Respond(HttpResponse&& response) override {
@@ -152,7 +152,7 @@
   void Abort() override { is_ok_ = false; }
 
   // True if the connection can serve another request.
-  bool can_go_on() const { return is_complete_ && keep_alive_; }
+  bool can_serve_next() const { return is_complete_ && keep_alive_; }
 
  private:
   beast::tcp_stream& stream_;
@@ -161,7 +161,7 @@
   bool keep_alive_ = false;
   const bool& is_closing_;
   const HttpServerLimits& limits_;
-  std::shared_ptr<PeerWatch> watch_;
+  std::shared_ptr<PeerCloseWatcher> watch_;
   bool is_ok_ = true;
   bool is_complete_ = false;
 };
@@ -209,14 +209,14 @@
         co_await pause.async_wait(kToken);
         continue;
       }
-      if (self->open_ >= self->limits_.connections) {
+      if (self->open_connections_ >= self->limits_.connections) {
         ++self->refused_;
         continue;  // The socket's destructor closes it.
       }
       error_code ignored;
       socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-      NoticeSilence(socket.native_handle());
-      ++self->open_;
+      EnableDeadPeerDetection(socket.native_handle());
+      ++self->open_connections_;
       asio::co_spawn(self->io_, Serve(self, std::move(socket)), asio::detached);
     }
   }
@@ -225,15 +225,15 @@
                                      asio::ip::tcp::socket socket) {
     beast::tcp_stream stream(std::move(socket));
     beast::flat_buffer buffer;
-    bool go_on = true;
+    bool keep_open = true;
     bool is_first = true;
-    while (go_on) {
-      go_on = co_await ServeOne(self, stream, buffer, is_first);
+    while (keep_open) {
+      keep_open = co_await ServeOne(self, stream, buffer, is_first);
       is_first = false;
     }
     error_code ignored;
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
-    --self->open_;
+    --self->open_connections_;
   }
 
   static asio::awaitable<bool> ServeOne(std::shared_ptr<Impl> self,
@@ -255,7 +255,7 @@
       error = body_error;
     }
     if (error) {
-      co_await ExplainReadError(*self, stream, error);
+      co_await RespondToReadError(*self, stream, error);
       co_return false;
     }
     const bool keep_alive = parser.keep_alive();
@@ -263,12 +263,12 @@
                            limits, self->is_closing_);
     stream.expires_never();
     co_await self->handler_(exchange);
-    co_return exchange.can_go_on();
+    co_return exchange.can_serve_next();
   }
 
-  static asio::awaitable<void> ExplainReadError(const Impl& server,
-                                                beast::tcp_stream& stream,
-                                                error_code error) {
+  static asio::awaitable<void> RespondToReadError(const Impl& server,
+                                                  beast::tcp_stream& stream,
+                                                  error_code error) {
     HttpResponse answer;
     if (error == http::error::header_limit) {
       answer = LimitRefusal(431, "header_too_large");
@@ -293,7 +293,7 @@
   HttpServerLimits limits_;
   bool is_closing_ = false;
   uint16_t port_;
-  size_t open_ = 0;
+  size_t open_connections_ = 0;
   std::atomic<uint64_t> refused_{0};
 };
 
--- a/drivers/io_thread.h
+++ b/drivers/io_thread.h
@@ -14,8 +14,8 @@
 // threads.
 class IoThread {
  public:
-  explicit IoThread(size_t most_queued)
-      : most_queued_(most_queued), guard_(boost::asio::make_work_guard(io_)) {}
+  explicit IoThread(size_t max_queued)
+      : max_queued_(max_queued), guard_(boost::asio::make_work_guard(io_)) {}
   ~IoThread() { Stop(); }
 
   // Requires: called once. Thread: the owner's.
@@ -31,7 +31,7 @@
   // full. Thread-safe.
   template <typename Work>
   bool TryPost(Work work) {
-    if (queued_.fetch_add(1) >= most_queued_) {
+    if (queued_.fetch_add(1) >= max_queued_) {
       queued_.fetch_sub(1);
       return false;
     }
@@ -45,7 +45,7 @@
   size_t queued() const { return queued_; }
 
  private:
-  size_t most_queued_;
+  size_t max_queued_;
   std::atomic<size_t> queued_{0};
   boost::asio::io_context io_{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
--- a/drivers/platform_client.cc
+++ b/drivers/platform_client.cc
@@ -14,18 +14,18 @@
 
 namespace {
 
-constexpr size_t kMostQueuedAppends = 4096;
-constexpr Duration kReadWait = std::chrono::milliseconds(1000);
+constexpr size_t kMaxQueuedAppends = 4096;
+constexpr Duration kLongPollWait = std::chrono::milliseconds(1000);
 constexpr Duration kReadTimeout = std::chrono::milliseconds(2500);
 constexpr Duration kAppendTimeout = std::chrono::milliseconds(2000);
-constexpr Duration kHostInterval = std::chrono::milliseconds(500);
+constexpr Duration kHostListInterval = std::chrono::milliseconds(500);
 constexpr Duration kCatalogueInterval = std::chrono::seconds(5);
 constexpr Duration kRetryInterval = std::chrono::milliseconds(200);
 constexpr Duration kFullChannelWait = std::chrono::milliseconds(1);
 constexpr Duration kNotReaderWait = std::chrono::milliseconds(200);
 constexpr int kNotModified = 304;
 
-TimePoint AsOfHeader(const HttpHeaders& headers) {
+TimePoint ReadFreshness(const HttpHeaders& headers) {
   const auto it = headers.find("applehall-as-of-ms");
   int64_t millis = 0;
   if (it != headers.end()) (void)absl::SimpleAtoi(it->second, &millis);
@@ -72,14 +72,14 @@
     : addresses_(std::move(addresses)),
       data_centre_(std::move(data_centre)),
       decisions_(decisions),
-      thread_(kMostQueuedAppends),
+      thread_(kMaxQueuedAppends),
       client_(thread_.io()) {}
 
 void PlatformClient::Start() {
-  asio::co_spawn(thread_.io(), FollowStream(kControlStream), asio::detached);
-  asio::co_spawn(thread_.io(), FollowStream(kClaimsStream), asio::detached);
-  asio::co_spawn(thread_.io(), FollowHosts(), asio::detached);
-  asio::co_spawn(thread_.io(), FollowCatalogue(), asio::detached);
+  asio::co_spawn(thread_.io(), PollStream(kControlStream), asio::detached);
+  asio::co_spawn(thread_.io(), PollStream(kClaimsStream), asio::detached);
+  asio::co_spawn(thread_.io(), PollHosts(), asio::detached);
+  asio::co_spawn(thread_.io(), PollCatalogue(), asio::detached);
   thread_.Start();
 }
 
@@ -104,7 +104,7 @@
     co_await Sleep(thread_.io(), kFullChannelWait);
 }
 
-asio::awaitable<void> PlatformClient::FollowStream(std::string stream) {
+asio::awaitable<void> PlatformClient::PollStream(std::string stream) {
   LogOffset from = 1;
   const bool is_control = stream == kControlStream;
   while (true) {
@@ -116,8 +116,9 @@
       // Skips records that this host has already received from peers.
       from = std::max(from, decisions_.control_offset());
     }
-    const std::string target = absl::StrCat(
-        "/log/", stream, "/read?from=", from, "&wait_ms=", ToMillis(kReadWait));
+    const std::string target =
+        absl::StrCat("/log/", stream, "/read?from=", from,
+                     "&wait_ms=", ToMillis(kLongPollWait));
     const HttpCall call =
         MakeCall(addresses_.log, "GET", target, "", kReadTimeout);
     const HttpResult result = co_await client_.Fetch(call);
@@ -136,34 +137,34 @@
   }
 }
 
-asio::awaitable<void> PlatformClient::FollowHosts() {
+asio::awaitable<void> PlatformClient::PollHosts() {
   const std::string target = "/hosts?near=" + data_centre_;
-  std::string tag;
+  std::string list_etag;
   while (true) {
     HttpCall call = MakeCall(addresses_.hosts, "GET", target, "", kReadTimeout);
     // Unchanged lists are not sent again: with thousands of hosts they would be
     // most of the traffic that a host receives.
-    if (!tag.empty()) call.request.headers["if-none-match"] = tag;
+    if (!list_etag.empty()) call.request.headers["if-none-match"] = list_etag;
     const HttpResult result = co_await client_.Fetch(call);
     const HttpHeaders& headers = result.response.headers;
     if (result.state == SendState::kAnswered &&
         result.response.status == kNotModified) {
-      const Event confirmed = HostListConfirmed{AsOfHeader(headers)};
+      const Event confirmed = HostListConfirmed{ReadFreshness(headers)};
       co_await Deliver(confirmed);
     } else if (result.is_ok()) {
       const auto etag = headers.find("etag");
-      tag = etag == headers.end() ? "" : etag->second;
+      list_etag = etag == headers.end() ? "" : etag->second;
       const absl::StatusOr<Json> json = ParseJson(result.response.body);
       if (json.ok()) {
         const Event read = HostListRead{HostList::FromJson(*json)};
         co_await Deliver(read);
       }
     }
-    co_await Sleep(thread_.io(), kHostInterval);
+    co_await Sleep(thread_.io(), kHostListInterval);
   }
 }
 
-asio::awaitable<void> PlatformClient::FollowCatalogue() {
+asio::awaitable<void> PlatformClient::PollCatalogue() {
   while (true) {
     const HttpCall call =
         MakeCall(addresses_.store, "GET", "/catalogue", "", kReadTimeout);
--- a/drivers/platform_client.h
+++ b/drivers/platform_client.h
@@ -32,9 +32,9 @@
  private:
   using Task = boost::asio::awaitable<void>;
 
-  Task FollowStream(std::string stream);
-  Task FollowHosts();
-  Task FollowCatalogue();
+  Task PollStream(std::string stream);
+  Task PollHosts();
+  Task PollCatalogue();
   Task RunAppend(AppendRecord action);
   // Pushes an event to the decision thread; waits while its channel is full.
   Task Deliver(const Event& event);
--- a/drivers/socket_options.h
+++ b/drivers/socket_options.h
@@ -8,12 +8,12 @@
 // Unacknowledged data, or unacknowledged keep-alive probes of an idle
 // connection, close it after about 3 to 4 s: longer than a retransmission
 // takes, shorter than callers wait. Thread-safe.
-void NoticeSilence(int socket);
+void EnableDeadPeerDetection(int socket);
 
 // Sets whether closing the connection discards bytes that the peer has not
 // acknowledged; otherwise the kernel tries to deliver them for minutes.
 // Thread-safe.
-void DiscardOnClose(int socket, bool discard);
+void SetDiscardOnClose(int socket, bool discard);
 
 }  // namespace applehall
 
--- a/drivers/turn_queue.h
+++ b/drivers/turn_queue.h
@@ -20,17 +20,17 @@
   // `take` must not block. Requires: `io` outlives this, and one thread runs
   // it.
   TurnQueue(boost::asio::io_context& io, size_t capacity,
-            std::function<void(T)> take)
-      : io_(io), capacity_(capacity), take_(std::move(take)) {}
+            std::function<void(T)> handler)
+      : io_(io), capacity_(capacity), handler_(std::move(handler)) {}
 
   // Adds an item. Returns false if the queue was full and its oldest item was
   // dropped. Thread: the one that runs `io`.
   bool Push(T item) {
     items_.push_back(std::move(item));
-    const bool has_room = items_.size() <= capacity_;
-    if (!has_room) items_.pop_front();
+    const bool has_capacity = items_.size() <= capacity_;
+    if (!has_capacity) items_.pop_front();
     Schedule();
-    return has_room;
+    return has_capacity;
   }
 
   // Number of queued items. Thread: the one that runs `io`.
@@ -40,21 +40,21 @@
   void Schedule() {
     if (is_scheduled_ || items_.empty()) return;
     is_scheduled_ = true;
-    boost::asio::post(io_, [this] { TakeOne(); });
+    boost::asio::post(io_, [this] { HandleNext(); });
   }
 
-  void TakeOne() {
+  void HandleNext() {
     is_scheduled_ = false;
     T item = std::move(items_.front());
     items_.pop_front();
     // Scheduled first, as handling the item may push others.
     Schedule();
-    take_(std::move(item));
+    handler_(std::move(item));
   }
 
   boost::asio::io_context& io_;
   const size_t capacity_;
-  std::function<void(T)> take_;
+  std::function<void(T)> handler_;
   std::deque<T> items_;
   bool is_scheduled_ = false;
 };
--- a/drivers/websocket_link.cc
+++ b/drivers/websocket_link.cc
@@ -26,7 +26,7 @@
 constexpr char kHelloPrefix[] = "hello ";
 constexpr char kProofPrefix[] = "proof ";
 constexpr std::size_t kChallengeBytes = 16;
-constexpr std::size_t kMostHandshakeBytes = 512;
+constexpr std::size_t kMaxHandshakeBytes = 512;
 
 std::string ToHex(const unsigned char* bytes, std::size_t size) {
   static constexpr char kDigits[] = "0123456789abcdef";
@@ -44,8 +44,8 @@
   return ToHex(bytes, sizeof(bytes));
 }
 
-std::string Proof(const std::string& key, const std::string& challenge,
-                  const std::string& host) {
+std::string HandshakeProof(const std::string& key, const std::string& challenge,
+                           const std::string& host) {
   const std::string text = challenge + "|" + host;
   unsigned char digest[EVP_MAX_MD_SIZE];
   unsigned int size = 0;
@@ -68,10 +68,10 @@
       : settings_(std::move(settings)),
         on_message_(std::move(on_message)),
         on_event_(std::move(on_event)) {
-    SetUp(server_);
-    SetUp(client_);
+    ConfigureEndpoint(server_);
+    ConfigureEndpoint(client_);
     server_.set_reuse_addr(true);
-    server_.set_open_handler([this](Handle h) { Opened(h, "", false); });
+    server_.set_open_handler([this](Handle h) { HandleOpen(h, "", false); });
     server_.listen(boost::asio::ip::tcp::endpoint(
         boost::asio::ip::make_address(settings_.listen_ip),
         settings_.listen_port));
@@ -124,16 +124,16 @@
     Handle handle;
     bool is_outgoing = false;
     bool is_open = false;
-    bool is_proven = false;
+    bool is_authenticated = false;
     bool is_full = false;  // The last message exceeded the buffer.
     std::string host;      // Set from the start on outgoing links.
     std::string challenge;
-    std::deque<std::vector<uint8_t>> waiting;
+    std::deque<std::vector<uint8_t>> pending;
   };
   using LinkPtr = std::shared_ptr<Link>;
 
   template <typename Endpoint>
-  void SetUp(Endpoint& endpoint) {
+  void ConfigureEndpoint(Endpoint& endpoint) {
     endpoint.clear_access_channels(websocketpp::log::alevel::all);
     endpoint.clear_error_channels(websocketpp::log::elevel::all);
     endpoint.init_asio(&io_);
@@ -141,17 +141,17 @@
     endpoint.set_open_handshake_timeout(settings_.dial_timeout_ms);
     endpoint.set_close_handshake_timeout(settings_.dial_timeout_ms);
     endpoint.set_message_handler([this](Handle h, auto message) {
-      Received(h, message->get_opcode(), message->get_payload());
+      HandleFrame(h, message->get_opcode(), message->get_payload());
     });
-    endpoint.set_close_handler([this](Handle h) { Closed(h); });
-    endpoint.set_fail_handler([this](Handle h) { Closed(h); });
+    endpoint.set_close_handler([this](Handle h) { HandleClose(h); });
+    endpoint.set_fail_handler([this](Handle h) { HandleClose(h); });
   }
 
   void SendOnThread(const std::string& host, const std::string& address,
                     std::vector<uint8_t> bytes) {
-    const auto proven = by_host_.find(host);
-    if (proven != by_host_.end()) {
-      Write(*proven->second, bytes);
+    const auto authenticated = links_by_host_.find(host);
+    if (authenticated != links_by_host_.end()) {
+      Write(*authenticated->second, bytes);
       return;
     }
     LinkPtr& dialling = dialling_[host];
@@ -161,11 +161,11 @@
       ++dropped_;
       return;
     }
-    if (dialling->waiting.size() >= settings_.most_queued_messages) {
-      dialling->waiting.pop_front();
+    if (dialling->pending.size() >= settings_.most_queued_messages) {
+      dialling->pending.pop_front();
       ++dropped_;
     }
-    dialling->waiting.push_back(std::move(bytes));
+    dialling->pending.push_back(std::move(bytes));
   }
 
   LinkPtr Dial(const std::string& host, const std::string& address) {
@@ -180,12 +180,12 @@
     link->host = host;
     links_[link->handle] = link;
     connection->set_open_handler(
-        [this, host](Handle h) { Opened(h, host, true); });
+        [this, host](Handle h) { HandleOpen(h, host, true); });
     client_.connect(connection);
     return link;
   }
 
-  void Opened(Handle handle, const std::string& host, bool is_outgoing) {
+  void HandleOpen(Handle handle, const std::string& host, bool is_outgoing) {
     LinkPtr& link = links_[handle];
     if (!link) {
       if (links_.size() > settings_.most_links) {
@@ -203,15 +203,15 @@
     WriteText(*link, kHelloPrefix + settings_.self + " " + link->challenge);
   }
 
-  void Received(Handle handle, Opcode opcode, const std::string& payload) {
+  void HandleFrame(Handle handle, Opcode opcode, const std::string& payload) {
     const auto it = links_.find(handle);
     if (it == links_.end()) return;
     const LinkPtr link = it->second;
     if (opcode == websocketpp::frame::opcode::text) {
-      Handshake(link, payload);
+      HandleHandshake(link, payload);
       return;
     }
-    if (!link->is_proven) {
+    if (!link->is_authenticated) {
       Reject(link, "message before authentication");
       return;
     }
@@ -223,10 +223,10 @@
     Reject(link, "malformed message");
   }
 
-  void Handshake(const LinkPtr& link, const std::string& text) {
+  void HandleHandshake(const LinkPtr& link, const std::string& text) {
     const std::string hello = kHelloPrefix;
     const std::string proof = kProofPrefix;
-    if (link->is_proven || text.size() > kMostHandshakeBytes) {
+    if (link->is_authenticated || text.size() > kMaxHandshakeBytes) {
       Reject(link, "unexpected handshake message");
     } else if (text.compare(0, hello.size(), hello) == 0) {
       const auto space = text.find(' ', hello.size());
@@ -238,40 +238,41 @@
         return;
       }
       link->host = name;
-      WriteText(*link, proof + Proof(settings_.shared_key,
-                                     text.substr(space + 1), settings_.self));
+      WriteText(*link,
+                proof + HandshakeProof(settings_.shared_key,
+                                       text.substr(space + 1), settings_.self));
     } else if (text.compare(0, proof.size(), proof) == 0) {
       const std::string expected =
-          Proof(settings_.shared_key, link->challenge, link->host);
+          HandshakeProof(settings_.shared_key, link->challenge, link->host);
       if (link->host.empty() ||
           !EqualInConstantTime(expected, text.substr(proof.size()))) {
         Reject(link, "wrong shared key");
         return;
       }
-      Proven(link);
+      CompleteHandshake(link);
     } else {
       Reject(link, "unknown handshake message");
     }
   }
 
-  void Proven(const LinkPtr& link) {
-    link->is_proven = true;
-    by_host_[link->host] = link;
+  void CompleteHandshake(const LinkPtr& link) {
+    link->is_authenticated = true;
+    links_by_host_[link->host] = link;
     dialling_.erase(link->host);
     on_event_("peer_linked", link->host,
               link->is_outgoing ? "outgoing" : "incoming");
-    while (!link->waiting.empty()) {
-      Write(*link, link->waiting.front());
-      link->waiting.pop_front();
+    while (!link->pending.empty()) {
+      Write(*link, link->pending.front());
+      link->pending.pop_front();
     }
   }
 
-  void Reject(const LinkPtr& link, const std::string& why) {
+  void Reject(const LinkPtr& link, const std::string& reason) {
     ++rejected_;
-    on_event_("peer_rejected", link->host, why);
+    on_event_("peer_rejected", link->host, reason);
     const Handle handle = link->handle;
     const bool is_outgoing = link->is_outgoing;
-    Closed(handle);
+    HandleClose(handle);
     CloseHandle(handle, is_outgoing);
   }
 
@@ -285,20 +286,21 @@
     }
   }
 
-  void Closed(Handle handle) {
+  void HandleClose(Handle handle) {
     const auto it = links_.find(handle);
     if (it == links_.end()) return;
     const LinkPtr link = it->second;
     links_.erase(it);
-    dropped_ += link->waiting.size();
-    const auto proven = by_host_.find(link->host);
-    if (proven != by_host_.end() && proven->second == link) {
-      by_host_.erase(proven);
+    dropped_ += link->pending.size();
+    const auto authenticated = links_by_host_.find(link->host);
+    if (authenticated != links_by_host_.end() &&
+        authenticated->second == link) {
+      links_by_host_.erase(authenticated);
       on_event_("peer_unlinked", link->host, "");
     }
-    const auto dialled = dialling_.find(link->host);
-    if (dialled != dialling_.end() && dialled->second == link) {
-      dialling_.erase(dialled);
+    const auto dialled_link = dialling_.find(link->host);
+    if (dialled_link != dialling_.end() && dialled_link->second == link) {
+      dialling_.erase(dialled_link);
     }
   }
 
@@ -359,8 +361,8 @@
   std::thread thread_;
   uint16_t port_ = 0;
   std::map<Handle, LinkPtr, std::owner_less<Handle>> links_;
-  std::map<std::string, LinkPtr> by_host_;   // Authenticated links.
-  std::map<std::string, LinkPtr> dialling_;  // Not authenticated yet.
+  std::map<std::string, LinkPtr> links_by_host_;  // Authenticated links.
+  std::map<std::string, LinkPtr> dialling_;       // Not authenticated yet.
   std::atomic<std::size_t> queued_{0};
   std::atomic<uint64_t> sent_{0};
   std::atomic<uint64_t> bytes_sent_{0};
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr size_t kMostQueued = 32768;
+constexpr size_t kMaxQueued = 32768;
 constexpr size_t kPrefixBytes = 256;
-constexpr size_t kMostIdLength = 128;
+constexpr size_t kMaxIdLength = 128;
 constexpr Duration kFullChannelWait = std::chrono::milliseconds(1);
 constexpr Duration kQueryTimeout = std::chrono::seconds(5);
 constexpr char kServicesPath[] = "/services/";
@@ -152,8 +152,8 @@
     : settings_(std::move(settings)),
       decisions_(settings_.node,
                  [this](Action action) { Perform(std::move(action)); }),
-      callers_(kMostQueued),
-      operators_(kMostQueued),
+      callers_(kMaxQueued),
+      operators_(kMaxQueued),
       backends_(settings_.node.data_centre, settings_.shared_key, decisions_),
       platform_(settings_.platform, settings_.node.data_centre, decisions_),
       id_random_(settings_.node.seed * 977 + 3) {
@@ -211,9 +211,9 @@
       {"operators",
        absl::StrCat(settings_.operators.ip, ":", operator_server_->port())},
       {"peers", absl::StrCat(settings_.peers.ip, ":", peers_->port())}};
-  const std::string aside = settings_.addresses_file + ".new";
-  std::ofstream(aside) << addresses.dump(2) << "\n";
-  std::rename(aside.c_str(), settings_.addresses_file.c_str());
+  const std::string temporary_path = settings_.addresses_file + ".new";
+  std::ofstream(temporary_path) << addresses.dump(2) << "\n";
+  std::rename(temporary_path.c_str(), settings_.addresses_file.c_str());
 }
 
 void Daemon::Run() {
@@ -270,42 +270,44 @@
 // ---- Decision thread ----
 
 void Daemon::Perform(Action action) {
-  std::visit([this](const auto& a) { On(a); }, action);
+  std::visit([this](const auto& a) { Execute(a); }, action);
 }
 
-void Daemon::On(const DispatchRequest& action) {
+void Daemon::Execute(const DispatchRequest& action) {
   std::shared_ptr<CallerSession> session = FindSession(action.handle);
   // The caller has just disconnected; the event for it is still queued.
   if (!session) return;
   backends_.Dispatch(action, std::move(session));
 }
 
-void Daemon::On(const CancelAttempt& action) {
+void Daemon::Execute(const CancelAttempt& action) {
   backends_.Cancel(action.handle, action.attempt);
 }
 
-void Daemon::On(const RefuseRequest& action) {
+void Daemon::Execute(const RefuseRequest& action) {
   const std::shared_ptr<CallerSession> session = FindSession(action.handle);
   if (!session) return;
   session->PushRefusal(action.refusal, action.rule);
 }
 
-void Daemon::On(const SendOrder& action) { backends_.SendEngineOrder(action); }
-void Daemon::On(const ProbeServer& action) { backends_.Probe(action); }
-void Daemon::On(const AppendRecord& action) { platform_.Append(action); }
+void Daemon::Execute(const SendOrder& action) {
+  backends_.SendEngineOrder(action);
+}
+void Daemon::Execute(const ProbeServer& action) { backends_.Probe(action); }
+void Daemon::Execute(const AppendRecord& action) { platform_.Append(action); }
 
-void Daemon::On(const SendPeer& action) {
+void Daemon::Execute(const SendPeer& action) {
   peers_->Send(action.host, action.address, action.message.Encode());
 }
 
-void Daemon::On(const SendPeers& action) {
+void Daemon::Execute(const SendPeers& action) {
   const std::vector<uint8_t> bytes = action.message.Encode();
   for (const PeerAddress& peer : action.peers) {
     peers_->Send(peer.host, peer.address, bytes);
   }
 }
 
-void Daemon::On(const Drained&) {
+void Daemon::Execute(const Drained&) {
   asio::post(main_io_, [this] { main_io_.stop(); });
 }
 
@@ -321,7 +323,7 @@
 }
 
 asio::awaitable<void> Daemon::ListModels(HttpExchange& exchange) {
-  std::string text = co_await Ask(callers_, &ModelListText);
+  std::string text = co_await RunQuery(callers_, &ModelListText);
   if (text.empty()) {
     co_await exchange.Respond(RefusalResponse("", Overloaded()));
     co_return;
@@ -334,7 +336,7 @@
   RequestArrived event;
   event.handle = next_handle_++;
   event.request_id = request.Header("x-request-id");
-  if (event.request_id.empty() || event.request_id.size() > kMostIdLength) {
+  if (event.request_id.empty() || event.request_id.size() > kMaxIdLength) {
     event.request_id = MakeUuid7(SystemClock().Now(), id_random_);
   }
   event.facts.method = request.method;
@@ -360,12 +362,12 @@
     co_await exchange.Respond(std::move(response));
     co_return;
   }
-  HttpRequest kept = request;
-  kept.headers["x-request-id"] = event.request_id;
+  HttpRequest session_request = request;
+  session_request.headers["x-request-id"] = event.request_id;
   const RequestHandle handle = event.handle;
   const std::string request_id = event.request_id;
-  const auto session =
-      std::make_shared<CallerSession>(callers_.io(), handle, std::move(kept));
+  const auto session = std::make_shared<CallerSession>(
+      callers_.io(), handle, std::move(session_request));
   {
     const std::lock_guard<std::mutex> lock(sessions_mutex_);
     sessions_[handle] = session;
@@ -375,7 +377,7 @@
     (void)decisions_.TryPush(CallerGone{handle});
   });
   if (decisions_.TryPush(std::move(event))) {
-    co_await PassAnswer(exchange, *session, request_id);
+    co_await SendResponse(exchange, *session, request_id);
   } else {
     co_await exchange.Respond(RefusalResponse("", Overloaded()));
   }
@@ -384,9 +386,9 @@
   sessions_.erase(handle);
 }
 
-asio::awaitable<void> Daemon::PassAnswer(HttpExchange& exchange,
-                                         CallerSession& session,
-                                         const std::string& request_id) {
+asio::awaitable<void> Daemon::SendResponse(HttpExchange& exchange,
+                                           CallerSession& session,
+                                           const std::string& request_id) {
   bool has_begun = false;
   bool is_ok = true;
   while (is_ok && !exchange.is_peer_gone()) {
@@ -435,7 +437,7 @@
 
 // ---- Operators' thread ----
 
-asio::awaitable<std::string> Daemon::Ask(
+asio::awaitable<std::string> Daemon::RunQuery(
     IoThread& thread, const std::function<std::string(const Node&)>& query) {
   struct Answer {
     explicit Answer(asio::io_context& io) : ready(io) {}
@@ -444,7 +446,7 @@
   };
   const auto answer = std::make_shared<Answer>(thread.io());
   answer->ready.expires_after(kQueryTimeout);
-  const bool is_asked =
+  const bool is_queued =
       decisions_.TryQuery([answer, query, &thread](const Node& node) {
         std::string text = query(node);
         asio::post(thread.io(), [answer, text = std::move(text)]() mutable {
@@ -452,7 +454,7 @@
           answer->ready.cancel();
         });
       });
-  if (!is_asked) co_return std::string();
+  if (!is_queued) co_return std::string();
   co_await answer->ready.async_wait(asio::as_tuple(asio::use_awaitable));
   co_return answer->text;
 }
@@ -499,7 +501,7 @@
     co_await exchange.Respond(PlainText(404, "unknown path\n"));
     co_return;
   }
-  std::string text = co_await Ask(operators_, query);
+  std::string text = co_await RunQuery(operators_, query);
   if (text.empty()) {
     co_await exchange.Respond(PlainText(503, "overloaded\n"));
     co_return;
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -43,33 +43,33 @@
   Task HandleCaller(HttpExchange& exchange);
   Task ListModels(HttpExchange& exchange);
   Task ServeRequest(HttpExchange& exchange);
-  Task PassAnswer(HttpExchange& exchange, CallerSession& session,
-                  const std::string& request_id);
+  Task SendResponse(HttpExchange& exchange, CallerSession& session,
+                    const std::string& request_id);
   // Operators' thread.
   Task HandleOperator(HttpExchange& exchange);
   // Runs a query on the decision thread and returns its result; empty if the
   // thread is overloaded.
-  boost::asio::awaitable<std::string> Ask(
+  boost::asio::awaitable<std::string> RunQuery(
       IoThread& thread, const std::function<std::string(const Node&)>& query);
 
   // Decision thread.
   void Perform(Action action);
-  void On(const DispatchRequest& action);
-  void On(const CancelAttempt& action);
-  void On(const RefuseRequest& action);
-  void On(const SendOrder& action);
-  void On(const ProbeServer& action);
-  void On(const AppendRecord& action);
-  void On(const SendPeer& action);
-  void On(const SendPeers& action);
-  void On(const Drained& action);
+  void Execute(const DispatchRequest& action);
+  void Execute(const CancelAttempt& action);
+  void Execute(const RefuseRequest& action);
+  void Execute(const SendOrder& action);
+  void Execute(const ProbeServer& action);
+  void Execute(const AppendRecord& action);
+  void Execute(const SendPeer& action);
+  void Execute(const SendPeers& action);
+  void Execute(const Drained& action);
   // No-ops: only fleets have a lease; this platform has engine groups.
-  void On(const ReadLease&) {}
-  void On(const AppendLease&) {}
-  void On(const FollowStore&) {}
-  void On(const TakeStoreNews&) {}
-  void On(const ReadQuarantine&) {}
-  void On(const AppendQuarantine&) {}
+  void Execute(const ReadLease&) {}
+  void Execute(const AppendLease&) {}
+  void Execute(const FollowStore&) {}
+  void Execute(const TakeStoreNews&) {}
+  void Execute(const ReadQuarantine&) {}
+  void Execute(const AppendQuarantine&) {}
 
   std::shared_ptr<CallerSession> FindSession(RequestHandle handle);
   void WriteAddresses() const;
--- a/main/daemon_settings.cc
+++ b/main/daemon_settings.cc
@@ -14,7 +14,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr size_t kLeastKeyLength = 16;
+constexpr size_t kMinKeyLength = 16;
 
 absl::Status ReadPlatform(const std::string& path, const Json& json,
                           DaemonSettings& settings) {
@@ -118,9 +118,9 @@
   settings.operators = reader.AddressAt("operators");
   settings.peers = reader.AddressAt("peers");
   settings.shared_key = reader.Text("shared_key");
-  if (settings.shared_key.size() < kLeastKeyLength) {
+  if (settings.shared_key.size() < kMinKeyLength) {
     reader.Fail("shared_key",
-                absl::StrCat("at least ", kLeastKeyLength, " characters"));
+                absl::StrCat("at least ", kMinKeyLength, " characters"));
   }
   const int64_t started = ToUnixMillis(SystemClock().Now());
   settings.node.self.number = static_cast<uint64_t>(
--- a/tests/drivers/http_test.cc
+++ b/tests/drivers/http_test.cc
@@ -72,7 +72,7 @@
   std::thread thread_;
 };
 
-TEST_F(HttpTest, AnswersAndKeepsConnections) {
+TEST_F(HttpTest, AnswersRepeatedCalls) {
   StartServer({});
   for (int i = 0; i < 3; ++i) {
     const HttpResult result = FetchBlocking(Call("/x", "hello"));
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_F(HttpTest, LimitsAreRefusedWithTheirReason) {
+TEST_F(HttpTest, OversizedRequestsAreRefused) {
   HttpServerLimits limits;
   limits.header_bytes = 1024;
   limits.body_bytes = 100;
@@ -93,7 +93,7 @@
   EXPECT_EQ(FetchBlocking(call).response.status, 431);
 }
 
-TEST_F(HttpTest, MalformedRequestsAreToldSo) {
+TEST_F(HttpTest, MalformedRequestsAreRefusedWith400) {
   StartServer({});
   for (const char* bytes :
        {"what is this\r\n\r\n", "GET / HTTP/9.9\r\n\r\n",
@@ -106,7 +106,7 @@
 // Guards against a timed-out request that the kernel still delivers when a
 // network partition ends, after the client has closed the connection normally.
 // A peer that receives a reset discards the bytes.
-TEST(HttpClientTest, GivenUpRequestIsTakenBack) {
+TEST(HttpClientTest, TimedOutRequestIsDiscarded) {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io,
                                    {asio::ip::make_address("127.0.0.1"), 0});
@@ -125,7 +125,7 @@
 }
 
 // Guards against a request that is sent after the timeout of the whole call.
-TEST(HttpClientTest, NothingIsSentAfterTheWholeTimeout) {
+TEST(HttpClientTest, NothingIsSentAfterTotalTimeout) {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io,
                                    {asio::ip::make_address("127.0.0.1"), 0});
@@ -137,7 +137,7 @@
 
 // Guards against a caller that holds a connection for ever by never completing
 // its header.
-TEST_F(HttpTest, SlowHeaderIsCutOff) {
+TEST_F(HttpTest, ConnectionWithIncompleteHeaderIsClosed) {
   HttpServerLimits limits;
   limits.header_timeout = std::chrono::milliseconds(50);
   StartServer(limits);
@@ -166,14 +166,14 @@
 }
 
 // Guards against a truncated response that the client reports as complete.
-TEST_F(HttpTest, BrokenStreamIsNotWhole) {
+TEST_F(HttpTest, TruncatedResponseIsReported) {
   StartServer({});
   const HttpResult result = FetchBlocking(Call("/broken", ""));
   EXPECT_EQ(result.state, SendState::kMayBeSent);
   EXPECT_EQ(result.response.body, "half of it");
 }
 
-TEST_F(HttpTest, RefusedConnectionIsNotSent) {
+TEST_F(HttpTest, RefusedConnectionCountsAsNotSent) {
   StartServer({});
   HttpCall call = Call("/x", "a");
   asio::io_context io;
@@ -228,11 +228,11 @@
   }
 
   static bool Await(End& end, std::vector<std::string> End::*list,
-                    const std::string& wanted) {
+                    const std::string& expected) {
     std::unique_lock<std::mutex> lock(end.mutex);
     return end.changed.wait_for(lock, std::chrono::seconds(20), [&] {
       const auto& all = end.*list;
-      return std::find(all.begin(), all.end(), wanted) != all.end();
+      return std::find(all.begin(), all.end(), expected) != all.end();
     });
   }
 };
@@ -251,7 +251,7 @@
 }
 
 // Guards against messages from a host with another shared key.
-TEST_F(WebsocketLinkTest, WrongKeyIsRefused) {
+TEST_F(WebsocketLinkTest, LinkWithWrongKeyIsRejected) {
   End a;
   End b;
   Start(a, "a", "the shared key");
--- a/tests/main/daemon_test.cc
+++ b/tests/main/daemon_test.cc
@@ -105,13 +105,14 @@
     return FetchBlocking(call);
   }
 
-  HttpResult ToHost(const std::string& host, const std::string& target,
-                    const std::string& body, const HttpHeaders& headers = {}) {
+  HttpResult SendToHost(const std::string& host, const std::string& target,
+                        const std::string& body,
+                        const HttpHeaders& headers = {}) {
     return Send({"127.0.0.1", daemons_.at(host)->callers_port()}, "POST",
                 target, body, headers);
   }
 
-  Json Truth() {
+  Json FetchTruth() {
     return *ParseJson(
         Send(*ParseAddress(platform_), "GET", "/truth", "", {}).response.body);
   }
@@ -140,7 +141,8 @@
   std::string NewKey() { return MakeUuid7(SystemClock().Now(), random_); }
 
   HttpResult OpenDoor(const std::string& host, const std::string& key) {
-    return ToHost(host, "/services/doors/7", "{}", {{"idempotency-key", key}});
+    return SendToHost(host, "/services/doors/7", "{}",
+                      {{"idempotency-key", key}});
   }
 
   static std::string ChatBody(const std::string& model,
@@ -185,22 +187,22 @@
 
 // Guards against responses sent to the wrong caller: engines hold back some
 // responses past later ones, whole and streamed, for 40 callers at two hosts.
-TEST_F(DaemonTest, CrossedAnswersReachTheirOwnCallers) {
+TEST_F(DaemonTest, ReorderedResponsesReachTheirCallers) {
   PublishAndAwaitReady();
   for (const char* engine : {"engine-1", "engine-2"}) {
     Platform("/fault",
              Json{{"target", engine}, {"kind", "reorder"}, {"count", 10}});
   }
   std::vector<std::thread> callers;
-  std::atomic<int> right{0};
+  std::atomic<int> correct_responses{0};
   for (int i = 0; i < 40; ++i) {
-    callers.emplace_back([this, i, &right] {
+    callers.emplace_back([this, i, &correct_responses] {
       const std::string model = "model-" + std::to_string(i % 3);
       const bool stream = i % 2 == 0;
       const std::string body =
           ChatBody(model, "prompt " + std::to_string(i), stream);
       const HttpResult result =
-          ToHost(i % 4 < 2 ? "entry-1" : "entry-2", kChat, body);
+          SendToHost(i % 4 < 2 ? "entry-1" : "entry-2", kChat, body);
       std::string content;
       if (stream) {
         content = StreamContent(result.response.body);
@@ -209,11 +211,11 @@
             result.response.body))["choices"][0]["message"]["content"]
                       .get<std::string>();
       }
-      right += content == Expected(model, body);
+      correct_responses += content == Expected(model, body);
     });
   }
   for (std::thread& caller : callers) caller.join();
-  EXPECT_EQ(right, 40);
+  EXPECT_EQ(correct_responses, 40);
 }
 
 // The engine breaks a stream midway and can resume it: the caller must get the
@@ -221,33 +223,34 @@
 TEST_F(DaemonTest, BrokenStreamIsResumed) {
   PublishAndAwaitReady();
   const std::string body = ChatBody("model-1", "tell me", true);
-  ASSERT_TRUE(ToHost("entry-1", kChat, body).is_ok());
+  ASSERT_TRUE(SendToHost("entry-1", kChat, body).is_ok());
   for (const char* engine : {"engine-1", "engine-2"}) {
     Platform("/fault", Json{{"target", engine}, {"kind", "break_stream"}});
   }
-  const HttpResult result = ToHost("entry-1", kChat, body);
+  const HttpResult result = SendToHost("entry-1", kChat, body);
   EXPECT_EQ(StreamContent(result.response.body), Expected("model-1", body));
 }
 
 // Guards against requests cut by a drain: thirty are open, most for cold
 // models.
-TEST_F(DaemonTest, DrainUnderLoadCutsNone) {
+TEST_F(DaemonTest, DrainUnderLoadCompletesOrRefusesRequests) {
   PublishAndAwaitReady();
   std::vector<std::thread> callers;
   std::atomic<int> arrived{0};
-  std::atomic<int> whole{0};
+  std::atomic<int> complete{0};
   std::atomic<int> refused{0};
   for (int i = 0; i < 30; ++i) {
     callers.emplace_back([&, i] {
       const std::string model = "model-" + std::to_string(i % 6);
       const std::string body = ChatBody(model, std::to_string(i), true);
       ++arrived;
-      const HttpResult result = ToHost("entry-1", kChat, body);
+      const HttpResult result = SendToHost("entry-1", kChat, body);
       if (result.response.status == 503) {
         refused +=
             result.response.body.find("\"not_run\"") != std::string::npos;
       } else {
-        whole += StreamContent(result.response.body) == Expected(model, body);
+        complete +=
+            StreamContent(result.response.body) == Expected(model, body);
       }
     });
   }
@@ -255,8 +258,8 @@
   daemons_.at("entry-1")->Drain();
   daemons_.at("entry-1")->Drain();
   for (std::thread& caller : callers) caller.join();
-  EXPECT_EQ(whole + refused, 30)
-      << whole << " whole, " << refused << " refused as not run";
+  EXPECT_EQ(complete + refused, 30)
+      << complete << " whole, " << refused << " refused as not run";
 }
 
 // Guards against a second run of a request that is repeated at another host.
@@ -266,13 +269,13 @@
   EXPECT_TRUE(OpenDoor("entry-1", key).is_ok());
   const HttpResult again = OpenDoor("entry-2", key);
   EXPECT_EQ(again.response.status, 409);
-  EXPECT_EQ(Truth()["services"]["doors-1"]["runs"][key], 1);
+  EXPECT_EQ(FetchTruth()["services"]["doors-1"]["runs"][key], 1);
   EXPECT_EQ(OpenDoor("entry-1", "").response.status, 400);
   EXPECT_EQ(OpenDoor("entry-1", "door-7").response.status, 400);
 }
 
 // The log appends the operator's record, but its response is lost.
-TEST_F(DaemonTest, PublishWithALostAnswerIsSettled) {
+TEST_F(DaemonTest, PublishWithLostResponseIsResolved) {
   PublishAndAwaitReady();
   std::ofstream(rules_path_) << TestRules("second").dump();
   Platform("/fault", Json{{"target", "log"}, {"kind", "duplicate"}});
@@ -287,11 +290,11 @@
             CommandExit::kBadInput);
 }
 
-TEST_F(DaemonTest, BadInputIsToldClearly) {
+TEST_F(DaemonTest, InvalidInputIsRefusedAsNotRun) {
   PublishAndAwaitReady();
   const auto status = [&](const std::string& target, const std::string& body,
                           const HttpHeaders& headers = {}) {
-    const HttpResult result = ToHost("entry-1", target, body, headers);
+    const HttpResult result = SendToHost("entry-1", target, body, headers);
     EXPECT_NE(result.response.body.find("\"verdict\":\"not_run\""),
               std::string::npos)
         << target << " " << body;
@@ -311,11 +314,11 @@
 
 // Responses name the rule that decided them, and the decision can be looked up
 // by the request id.
-TEST_F(DaemonTest, DecisionsAreTracedToTheirRule) {
+TEST_F(DaemonTest, DecisionsNameTheirRule) {
   PublishAndAwaitReady();
   const HttpResult result =
-      ToHost("entry-1", kChat, ChatBody("model-2", "x", false),
-             {{"x-request-id", "my-request"}});
+      SendToHost("entry-1", kChat, ChatBody("model-2", "x", false),
+                 {{"x-request-id", "my-request"}});
   ASSERT_TRUE(result.is_ok());
   EXPECT_EQ(result.response.headers.at("applehall-rule"), "1/rest");
   EXPECT_EQ(result.response.headers.at("x-request-id"), "my-request");
