--- a/drivers/backend_client.cc
+++ b/drivers/backend_client.cc
@@ -165,7 +165,7 @@
     co_return EndOf(action, AttemptResult::kNotSent, stream.error());
   }
   if (stream.state() == SendState::kMayBeSent) {
-    co_return BrokenOff(action, stream.error(), stream.is_cut());
+    co_return BrokenOff(action, stream.error(), stream.is_closed_by_peer());
   }
   const auto type = stream.head().headers.find("content-type");
   const bool is_stream = type != stream.head().headers.end() &&
@@ -177,11 +177,11 @@
 asio::awaitable<AttemptEnded> BackendClient::ForwardResponse(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   HttpResponse response = stream.head();
-  while (!stream.is_whole()) {
+  while (!stream.is_complete()) {
     const std::string chunk = co_await stream.ReadSome(kStreamIdleTimeout);
     response.body += chunk;
-    if (chunk.empty() && !stream.is_whole()) {
-      co_return BrokenOff(action, stream.error(), stream.is_cut());
+    if (chunk.empty() && !stream.is_complete()) {
+      co_return BrokenOff(action, stream.error(), stream.is_closed_by_peer());
     }
   }
   if (MayBeRefusal(action.kind, response.status)) {
@@ -213,21 +213,22 @@
   }
   const TimePoint started_at = clock_.Now();
   std::string partial;
-  while (!stream.is_whole()) {
-    co_await session.AwaitRoom(thread_.io());
+  while (!stream.is_complete()) {
+    co_await session.AwaitFreeSpace(thread_.io());
     if (session.is_closed()) {
       stream.Cancel();
       co_return EndOf(action, AttemptResult::kBroken,
                       "the caller disconnected");
     }
     partial += co_await stream.ReadSome(kStreamIdleTimeout);
-    std::string events = TakeWholeEvents(partial);
+    std::string events = ExtractCompleteEvents(partial);
     if (!events.empty()) {
       session.delivered_events += CountEvents(events);
       session.PushChunk(std::move(events));
     }
-    if (stream.is_whole() || stream.error().empty()) continue;
-    AttemptEnded broken = BrokenOff(action, stream.error(), stream.is_cut());
+    if (stream.is_complete() || stream.error().empty()) continue;
+    AttemptEnded broken =
+        BrokenOff(action, stream.error(), stream.is_closed_by_peer());
     broken.answered_for = clock_.Now() - started_at;
     broken.has_delivered = true;
     broken.can_resume = stream.head().headers.contains("applehall-can-resume");
--- a/drivers/caller_session.h
+++ b/drivers/caller_session.h
@@ -54,15 +54,16 @@
   boost::asio::awaitable<ReplyPart> Next();
   // Waits until the buffer has free space or the session is closed. Thread: the
   // backend's, which runs `backend_io`.
-  boost::asio::awaitable<void> AwaitRoom(boost::asio::io_context& backend_io);
+  boost::asio::awaitable<void> AwaitFreeSpace(
+      boost::asio::io_context& backend_io);
   // Closes the session: the caller disconnected or has its response. Thread:
   // the callers'.
   void Close() { is_closed_ = true; }
   // Closes the session after a disconnect of the caller and ends a pending
   // Next(). Thread: the callers'.
-  void CallerLeft(TimePoint now);
+  void HandleDisconnect(TimePoint now);
   // Time at which the caller disconnected; nothing before. Thread-safe.
-  std::optional<TimePoint> left_at() const;
+  std::optional<TimePoint> disconnected_at() const;
 
   uint64_t handle() const { return handle_; }
   const HttpRequest& request() const { return request_; }
@@ -85,7 +86,7 @@
   std::deque<ReplyPart> parts_;
   std::atomic<size_t> buffered_bytes_{0};
   std::atomic<bool> is_closed_{false};
-  std::atomic<TimePoint> left_at_{TimePoint{}};
+  std::atomic<TimePoint> disconnected_at_{TimePoint{}};
 };
 
 }  // namespace applehall
--- a/drivers/event_stream.h
+++ b/drivers/event_stream.h
@@ -10,7 +10,7 @@
 // returns them; an incomplete event stays. Only complete events are sent to a
 // caller, so that a broken stream can be resumed between two events. Requires:
 // nothing. Thread-safe.
-std::string TakeWholeEvents(std::string& partial);
+std::string ExtractCompleteEvents(std::string& partial);
 
 // Returns the number of events in `events`. Requires: complete events only.
 // Thread-safe.
--- a/drivers/http_client.h
+++ b/drivers/http_client.h
@@ -31,13 +31,13 @@
   // Requires: the last call has returned. Thread: the client's.
   virtual boost::asio::awaitable<std::string> ReadSome(Duration timeout) = 0;
   // True if the body was read to its end as HTTP defines it.
-  virtual bool is_whole() const = 0;
+  virtual bool is_complete() const = 0;
   // Cancels the call and closes the connection. Thread: the client's.
   virtual void Cancel() = 0;
   virtual std::string error() const = 0;
   // True if the peer closed or reset the connection before the response was
   // complete.
-  virtual bool is_cut() const = 0;
+  virtual bool is_closed_by_peer() const = 0;
 };
 
 struct HttpCall {
@@ -52,7 +52,7 @@
   // Max time from the creation of the call to the response head, including time
   // in which the machine was suspended. After it nothing is sent, and bytes
   // that the peer has not acknowledged are discarded.
-  std::optional<Duration> whole_timeout = std::nullopt;
+  std::optional<Duration> total_timeout = std::nullopt;
 };
 
 struct HttpResult {
--- a/drivers/http_server.cc
+++ b/drivers/http_server.cc
@@ -92,8 +92,8 @@
   ~BeastExchange() override { watch_->Stop(); }
 
   const HttpRequest& request() const override { return request_; }
-  bool is_peer_gone() const override { return watch_->is_disconnected; }
-  void SetOnPeerGone(std::function<void()> callback) override {
+  bool is_peer_disconnected() const override { return watch_->is_disconnected; }
+  void SetOnPeerDisconnected(std::function<void()> callback) override {
     watch_->on_disconnect = std::move(callback);
   }
 
--- a/drivers/http_server.h
+++ b/drivers/http_server.h
@@ -30,11 +30,11 @@
 
   virtual const HttpRequest& request() const = 0;
   // True once the peer closed its side while the handler was running.
-  virtual bool is_peer_gone() const = 0;
+  virtual bool is_peer_disconnected() const = 0;
   // Sets a callback that runs at most once, when the peer closes before the
   // response is complete. Requires: set before the first await. Thread: the
   // server's.
-  virtual void SetOnPeerGone(std::function<void()> callback) = 0;
+  virtual void SetOnPeerDisconnected(std::function<void()> callback) = 0;
 
   // Each returns false if the peer disconnected or timed out. Requires: either
   // one Respond(), or BeginStream(), any number of Write() and EndStream().
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -372,8 +372,8 @@
     const std::lock_guard<std::mutex> lock(sessions_mutex_);
     sessions_[handle] = session;
   }
-  exchange.SetOnPeerGone([this, session, handle] {
-    session->CallerLeft(SystemClock().Now());
+  exchange.SetOnPeerDisconnected([this, session, handle] {
+    session->HandleDisconnect(SystemClock().Now());
     (void)decisions_.TryPush(CallerGone{handle});
   });
   if (decisions_.TryPush(std::move(event))) {
@@ -391,7 +391,7 @@
                                            const std::string& request_id) {
   bool has_begun = false;
   bool is_ok = true;
-  while (is_ok && !exchange.is_peer_gone()) {
+  while (is_ok && !exchange.is_peer_disconnected()) {
     ReplyPart part = co_await session.Next();
     switch (part.kind) {
       case ReplyPart::Kind::kWhole: {
@@ -414,7 +414,7 @@
         co_await exchange.EndStream();
         co_return;
       case ReplyPart::Kind::kRefusal:
-        if (exchange.is_peer_gone()) co_return;
+        if (exchange.is_peer_disconnected()) co_return;
         if (has_begun) {
           // The head has been sent: an error event and the missing end of the
           // stream show the caller that its response is incomplete.
@@ -430,7 +430,7 @@
         co_return;
     }
   }
-  if (!exchange.is_peer_gone()) {
+  if (!exchange.is_peer_disconnected()) {
     (void)decisions_.TryPush(CallerGone{session.handle()});
   }
 }
--- a/standins/standin_server.cc
+++ b/standins/standin_server.cc
@@ -225,12 +225,12 @@
     co_return false;
   }
   if (faults.is_frozen) {
-    while (faults_[name].is_frozen && !exchange.is_peer_gone()) {
+    while (faults_[name].is_frozen && !exchange.is_peer_disconnected()) {
       co_await Sleep(io_, std::chrono::milliseconds(20));
     }
   }
   if (faults.slow > Duration::zero()) co_await Sleep(io_, faults.slow);
-  co_return !exchange.is_peer_gone();
+  co_return !exchange.is_peer_disconnected();
 }
 
 asio::awaitable<void> StandinServer::Answer(const std::string& name,
@@ -304,7 +304,8 @@
       Now() +
       std::min<Duration>(std::chrono::milliseconds(wait_ms), kMostLogWait);
   LogBatch batch = log_.Read(stream, from, kMostRecordsPerRead, Now());
-  while (batch.records.empty() && Now() < until && !exchange.is_peer_gone()) {
+  while (batch.records.empty() && Now() < until &&
+         !exchange.is_peer_disconnected()) {
     co_await Sleep(io_, kLogPoll);
     if (faults_["log"].is_down) {
       exchange.Abort();
