--- a/drivers/turn_queue.h
+++ b/drivers/turn_queue.h
@@ -17,7 +17,7 @@
 template <typename T>
 class TurnQueue {
  public:
-  // `take` must not block. Requires: `io` outlives this, and one thread runs
+  // `handler` must not block. Requires: `io` outlives this, and one thread runs
   // it.
   TurnQueue(boost::asio::io_context& io, size_t capacity,
             std::function<void(T)> handler)
--- a/tests/main/daemon_test.cc
+++ b/tests/main/daemon_test.cc
@@ -259,7 +259,7 @@
   daemons_.at("entry-1")->Drain();
   for (std::thread& caller : callers) caller.join();
   EXPECT_EQ(complete + refused, 30)
-      << complete << " whole, " << refused << " refused as not run";
+      << complete << " complete, " << refused << " refused as not run";
 }
 
 // Guards against a second run of a request that is repeated at another host.
