--- a/drivers/backend_client.cc
+++ b/drivers/backend_client.cc
@@ -94,8 +94,8 @@
                    asio::detached);
   });
   if (is_posted) return;
-  (void)decisions_.TryPush(
-      EndOf(action, AttemptResult::kNotSent, "this host's queue is full"));
+  (void)decisions_.TryPush(MakeAttemptEnd(action, AttemptResult::kNotSent,
+                                          "this host's queue is full"));
 }
 
 void BackendClient::Cancel(RequestHandle handle, int attempt) {
@@ -157,15 +157,16 @@
 asio::awaitable<AttemptEnded> BackendClient::ExecuteAttempt(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   if (session.is_closed()) {
-    co_return EndOf(action, AttemptResult::kNotSent,
-                    "the caller has disconnected");
+    co_return MakeAttemptEnd(action, AttemptResult::kNotSent,
+                             "the caller has disconnected");
   }
   co_await stream.Start();
   if (stream.state() == SendState::kNotSent) {
-    co_return EndOf(action, AttemptResult::kNotSent, stream.error());
+    co_return MakeAttemptEnd(action, AttemptResult::kNotSent, stream.error());
   }
   if (stream.state() == SendState::kMayBeSent) {
-    co_return BrokenOff(action, stream.error(), stream.is_closed_by_peer());
+    co_return MakeBrokenAttemptEnd(action, stream.error(),
+                                   stream.is_closed_by_peer());
   }
   const auto type = stream.head().headers.find("content-type");
   const bool is_stream = type != stream.head().headers.end() &&
@@ -181,12 +182,13 @@
     const std::string chunk = co_await stream.ReadSome(kStreamIdleTimeout);
     response.body += chunk;
     if (chunk.empty() && !stream.is_complete()) {
-      co_return BrokenOff(action, stream.error(), stream.is_closed_by_peer());
+      co_return MakeBrokenAttemptEnd(action, stream.error(),
+                                     stream.is_closed_by_peer());
     }
   }
   if (MayBeRefusal(action.kind, response.status)) {
-    co_return EndOf(action, RefusalResult(response),
-                    absl::StrCat("status ", response.status));
+    co_return MakeAttemptEnd(action, RefusalResult(response),
+                             absl::StrCat("status ", response.status));
   }
   response.headers.erase("content-length");
   response.headers.erase("connection");
@@ -196,7 +198,7 @@
   part.response = std::move(response);
   part.rule = action.rule;
   session.Push(std::move(part));
-  co_return EndOf(action, AttemptResult::kCompleted, "");
+  co_return MakeAttemptEnd(action, AttemptResult::kCompleted, "");
 }
 
 asio::awaitable<AttemptEnded> BackendClient::ForwardStream(
@@ -217,8 +219,8 @@
     co_await session.AwaitFreeSpace(thread_.io());
     if (session.is_closed()) {
       stream.Cancel();
-      co_return EndOf(action, AttemptResult::kBroken,
-                      "the caller disconnected");
+      co_return MakeAttemptEnd(action, AttemptResult::kBroken,
+                               "the caller disconnected");
     }
     partial += co_await stream.ReadSome(kStreamIdleTimeout);
     std::string events = ExtractCompleteEvents(partial);
@@ -227,8 +229,8 @@
       session.PushChunk(std::move(events));
     }
     if (stream.is_complete() || stream.error().empty()) continue;
-    AttemptEnded broken =
-        BrokenOff(action, stream.error(), stream.is_closed_by_peer());
+    AttemptEnded broken = MakeBrokenAttemptEnd(action, stream.error(),
+                                               stream.is_closed_by_peer());
     broken.answered_for = clock_.Now() - started_at;
     broken.has_delivered = true;
     broken.can_resume = stream.head().headers.contains("applehall-can-resume");
@@ -236,7 +238,7 @@
   }
   if (!partial.empty()) session.PushChunk(std::move(partial));
   session.PushEnd();
-  co_return EndOf(action, AttemptResult::kCompleted, "");
+  co_return MakeAttemptEnd(action, AttemptResult::kCompleted, "");
 }
 
 void BackendClient::Probe(const ProbeServer& action) {
@@ -280,7 +282,7 @@
   if (!result.is_ok()) co_return;
   const absl::StatusOr<Json> body = ParseJson(result.response.body);
   if (!body.ok() || !body->is_object()) co_return;
-  EngineAnswered answered;
+  InventoryReceived answered;
   answered.inventory = Inventory::FromJson(*body, clock_.Now());
   answered.asked_at = asked_at;
   const Event event = std::move(answered);
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -374,7 +374,7 @@
   }
   exchange.SetOnPeerDisconnected([this, session, handle] {
     session->HandleDisconnect(SystemClock().Now());
-    (void)decisions_.TryPush(CallerGone{handle});
+    (void)decisions_.TryPush(CallerDisconnected{handle});
   });
   if (decisions_.TryPush(std::move(event))) {
     co_await SendResponse(exchange, *session, request_id);
@@ -431,7 +431,7 @@
     }
   }
   if (!exchange.is_peer_disconnected()) {
-    (void)decisions_.TryPush(CallerGone{session.handle()});
+    (void)decisions_.TryPush(CallerDisconnected{session.handle()});
   }
 }
 
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -66,8 +66,8 @@
   // No-ops: only fleets have a lease; this platform has engine groups.
   void Execute(const ReadLease&) {}
   void Execute(const AppendLease&) {}
-  void Execute(const FollowStore&) {}
-  void Execute(const TakeStoreNews&) {}
+  void Execute(const SetStorePolling&) {}
+  void Execute(const ApplyStoreUpdates&) {}
   void Execute(const ReadQuarantine&) {}
   void Execute(const AppendQuarantine&) {}
 
--- a/standins/standin_server.cc
+++ b/standins/standin_server.cc
@@ -434,7 +434,7 @@
   std::map<std::string, int> now;
   for (const auto& engine : engines_) {
     engine->fake.Advance(Now());
-    for (const std::string& name : engine->fake.Resident()) {
+    for (const std::string& name : engine->fake.ResidentTargets()) {
       ++now[engine->fake.settings().data_centre + "/" + name];
     }
   }
@@ -462,7 +462,7 @@
              {"unloads", fake.unloads_done()},
              {"requests_begun", engine->requests_begun},
              {"requests_done", engine->requests_done},
-             {"resident", fake.Resident()},
+             {"resident", fake.ResidentTargets()},
              {"idle_seconds", ToSeconds(fake.idle_time())},
              {"held_seconds", ToSeconds(fake.held_time())}};
   }
@@ -495,10 +495,10 @@
       co_return;
     }
     const EngineOrder order = EngineOrder::FromJson(*body);
-    Inventory inventory = engine.fake.TakeOrder(order, Now());
+    Inventory inventory = engine.fake.HandleOrder(order, Now());
     if (faults_[name].duplicate > 0) {
       --faults_[name].duplicate;
-      inventory = engine.fake.TakeOrder(order, Now());
+      inventory = engine.fake.HandleOrder(order, Now());
     }
     CountReplicas();
     co_await Answer(name, exchange, Ok(inventory.ToJson(Now())));
--- a/tests/platform/edge_test.cc
+++ b/tests/platform/edge_test.cc
@@ -351,7 +351,8 @@
   Dispatch(handle);
   RunUntil([this] { return !server_.requests.empty(); });
   caller_->close();
-  EXPECT_TRUE(RunUntil([this] { return Find<CallerGone>() != nullptr; }));
+  EXPECT_TRUE(
+      RunUntil([this] { return Find<CallerDisconnected>() != nullptr; }));
   engines_.Cancel(CancelAttempt{handle, 1});
   EXPECT_EQ(AwaitEnd().result, AttemptResult::kBroken);
 }
