--- a/drivers/backend_client.cc
+++ b/drivers/backend_client.cc
@@ -16,14 +16,14 @@
 
 namespace {
 
-constexpr size_t kMostQueuedActions = 32768;
+constexpr size_t kMaxQueuedActions = 32768;
 constexpr Duration kOrderTimeout = std::chrono::seconds(3);
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(1000);
-// Between pieces of a stream; past it the engine counts as broken.
-constexpr Duration kStreamSilence = std::chrono::seconds(15);
+// Max time between two chunks of a response; after it the attempt is broken.
+constexpr Duration kStreamIdleTimeout = std::chrono::seconds(15);
 constexpr Duration kFullChannelWait = std::chrono::milliseconds(1);
 
-// What the backend server says about a request that it did not answer.
+// Maps an error response of a backend server to the result of the attempt.
 AttemptResult RefusalResult(const HttpResponse& response) {
   const absl::StatusOr<Json> body = ParseJson(response.body);
   if (!body.ok() || !body->is_object()) return AttemptResult::kBroken;
@@ -42,8 +42,8 @@
   return status == 404 || status == 409 || status == 429 || status >= 500;
 }
 
-// The body with the model that the rule chose instead of the one asked for.
-std::string BodyFor(const std::string& body, const std::string& model) {
+// Returns the body with its model replaced by the one that the rule chose.
+std::string ReplaceModel(const std::string& body, const std::string& model) {
   absl::StatusOr<Json> json = ParseJson(body);
   if (!json.ok() || !json->is_object()) return body;
   if (FieldOr<std::string>(*json, "model", "") == model) return body;
@@ -71,7 +71,7 @@
     : data_centre_(std::move(data_centre)),
       shared_key_(std::move(shared_key)),
       decisions_(decisions),
-      thread_(kMostQueuedActions),
+      thread_(kMaxQueuedActions),
       client_(thread_.io()) {}
 
 void BackendClient::Start() { thread_.Start(); }
@@ -86,10 +86,10 @@
 void BackendClient::Dispatch(const DispatchRequest& action,
                              std::shared_ptr<CallerSession> session) {
   const bool is_posted = thread_.TryPost([this, action, session] {
-    // Known before its coroutine begins: a cancel may come first.
+    // Registered before its coroutine starts: Cancel() may run first.
     const std::shared_ptr<HttpStream> stream =
         client_.Prepare(MakeCall(action, *session));
-    open_[{action.handle, action.attempt}] = stream;
+    attempts_[{action.handle, action.attempt}] = stream;
     asio::co_spawn(thread_.io(), RunAttempt(action, stream, session),
                    asio::detached);
   });
@@ -100,8 +100,8 @@
 
 void BackendClient::Cancel(RequestHandle handle, int attempt) {
   (void)thread_.TryPost([this, handle, attempt] {
-    const auto it = open_.find({handle, attempt});
-    if (it != open_.end()) it->second->Cancel();
+    const auto it = attempts_.find({handle, attempt});
+    if (it != attempts_.end()) it->second->Cancel();
   });
 }
 
@@ -119,19 +119,20 @@
   call.request.headers["applehall-priority"] =
       action.is_background ? "background" : "urgent";
   call.connect_timeout = kConnectTimeout;
-  const Duration left = action.deadline - clock_.Now();
-  call.header_timeout = std::max<Duration>(left, std::chrono::milliseconds(1));
-  // Whether a kept connection was already closed by the other side is not
-  // known before the request is lost on it.
+  const Duration time_left = action.deadline - clock_.Now();
+  call.header_timeout =
+      std::max<Duration>(time_left, std::chrono::milliseconds(1));
+  // An idle connection may already be closed by the peer, which shows only when
+  // the request on it is lost.
   call.fresh_connection = action.is_claimed;
   if (action.resume) {
     call.request.headers["applehall-resume-from"] =
         std::to_string(session.delivered_events);
   }
   if (action.kind == BackendKind::kEngine) {
-    call.request.body = BodyFor(call.request.body, action.model);
+    call.request.body = ReplaceModel(call.request.body, action.model);
   } else if (action.kind == BackendKind::kService) {
-    // "/services/NAME/rest" is "/rest" to the service.
+    // The service receives "/services/NAME/rest" as "/rest".
     const auto name_end = call.request.target.find('/', 10);
     call.request.target = name_end == std::string::npos
                               ? "/"
@@ -140,7 +141,7 @@
     const std::string id = session.request().Header("x-request-id");
     call.request.headers["applehall-forwarded"] = ForwardProof(shared_key_, id);
     call.request.headers["applehall-deadline-ms"] =
-        std::to_string(std::max<int64_t>(1, ToMillis(left)));
+        std::to_string(std::max<int64_t>(1, ToMillis(time_left)));
   }
   return call;
 }
@@ -148,39 +149,41 @@
 asio::awaitable<void> BackendClient::RunAttempt(
     DispatchRequest action, std::shared_ptr<HttpStream> stream,
     std::shared_ptr<CallerSession> session) {
-  const Event ended = co_await Attempt(action, *stream, *session);
-  open_.erase({action.handle, action.attempt});
+  const Event ended = co_await ExecuteAttempt(action, *stream, *session);
+  attempts_.erase({action.handle, action.attempt});
   co_await Deliver(ended);
 }
 
-asio::awaitable<AttemptEnded> BackendClient::Attempt(
+asio::awaitable<AttemptEnded> BackendClient::ExecuteAttempt(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   if (session.is_closed()) {
     co_return MakeAttemptEnd(action, AttemptResult::kNotSent,
-                             "the caller has left");
+                             "the caller has disconnected");
   }
   co_await stream.Start();
   if (stream.state() == SendState::kNotSent) {
     co_return MakeAttemptEnd(action, AttemptResult::kNotSent, stream.error());
   }
   if (stream.state() == SendState::kMayBeSent) {
-    co_return MakeBrokenAttemptEnd(action, stream.error(), stream.is_cut());
+    co_return MakeBrokenAttemptEnd(action, stream.error(),
+                                   stream.is_closed_by_peer());
   }
   const auto type = stream.head().headers.find("content-type");
   const bool is_stream = type != stream.head().headers.end() &&
                          type->second.starts_with("text/event-stream");
-  if (is_stream) co_return co_await PassStream(action, stream, session);
-  co_return co_await PassWhole(action, stream, session);
+  if (is_stream) co_return co_await ForwardStream(action, stream, session);
+  co_return co_await ForwardResponse(action, stream, session);
 }
 
-asio::awaitable<AttemptEnded> BackendClient::PassWhole(
+asio::awaitable<AttemptEnded> BackendClient::ForwardResponse(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   HttpResponse response = stream.head();
-  while (!stream.is_whole()) {
-    const std::string piece = co_await stream.ReadSome(kStreamSilence);
-    response.body += piece;
-    if (piece.empty() && !stream.is_whole()) {
-      co_return MakeBrokenAttemptEnd(action, stream.error(), stream.is_cut());
+  while (!stream.is_complete()) {
+    const std::string chunk = co_await stream.ReadSome(kStreamIdleTimeout);
+    response.body += chunk;
+    if (chunk.empty() && !stream.is_complete()) {
+      co_return MakeBrokenAttemptEnd(action, stream.error(),
+                                     stream.is_closed_by_peer());
     }
   }
   if (MayBeRefusal(action.kind, response.status)) {
@@ -198,7 +201,7 @@
   co_return MakeAttemptEnd(action, AttemptResult::kCompleted, "");
 }
 
-asio::awaitable<AttemptEnded> BackendClient::PassStream(
+asio::awaitable<AttemptEnded> BackendClient::ForwardStream(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   if (!session.has_begun) {
     session.has_begun = true;
@@ -210,25 +213,25 @@
     const Event started = AttemptStarted{action.handle};
     co_await Deliver(started);
   }
-  const TimePoint begun_at = clock_.Now();
+  const TimePoint started_at = clock_.Now();
   std::string partial;
-  while (!stream.is_whole()) {
-    co_await session.AwaitRoom(thread_.io());
+  while (!stream.is_complete()) {
+    co_await session.AwaitFreeSpace(thread_.io());
     if (session.is_closed()) {
       stream.Cancel();
       co_return MakeAttemptEnd(action, AttemptResult::kBroken,
-                               "the caller closed");
+                               "the caller disconnected");
     }
-    partial += co_await stream.ReadSome(kStreamSilence);
-    std::string events = TakeWholeEvents(partial);
+    partial += co_await stream.ReadSome(kStreamIdleTimeout);
+    std::string events = ExtractCompleteEvents(partial);
     if (!events.empty()) {
       session.delivered_events += CountEvents(events);
       session.PushChunk(std::move(events));
     }
-    if (stream.is_whole() || stream.error().empty()) continue;
-    AttemptEnded broken =
-        MakeBrokenAttemptEnd(action, stream.error(), stream.is_cut());
-    broken.answered_for = clock_.Now() - begun_at;
+    if (stream.is_complete() || stream.error().empty()) continue;
+    AttemptEnded broken = MakeBrokenAttemptEnd(action, stream.error(),
+                                               stream.is_closed_by_peer());
+    broken.answered_for = clock_.Now() - started_at;
     broken.has_delivered = true;
     broken.can_resume = stream.head().headers.contains("applehall-can-resume");
     co_return broken;
@@ -239,22 +242,22 @@
 }
 
 void BackendClient::Probe(const ProbeServer& action) {
-  // A probe that does not fit into the queue leaves the server's state unknown.
+  // If the queue is full, the server's state is reported as unknown.
   const bool is_posted = thread_.TryPost([this, action] {
-    asio::co_spawn(thread_.io(), RunProbeOf(action), asio::detached);
+    asio::co_spawn(thread_.io(), ProbeAndReport(action), asio::detached);
   });
   if (is_posted) return;
   (void)decisions_.TryPush(ServerProbed{action.server});
 }
 
-asio::awaitable<void> BackendClient::RunProbeOf(ProbeServer action) {
+asio::awaitable<void> BackendClient::ProbeAndReport(ProbeServer action) {
   const Event probed = co_await RunProbe(thread_.io(), action);
   co_await Deliver(probed);
 }
 
 void BackendClient::SendEngineOrder(const SendOrder& action) {
-  // An order that does not fit into the queue is lost, like one on the wire;
-  // the ledger keeps its reservation until that is proven.
+  // If the queue is full, the order is dropped, as if lost in transit; the
+  // ledger keeps its reservation until the loss is proven.
   (void)thread_.TryPost([this, action] {
     asio::co_spawn(thread_.io(), RunOrder(action), asio::detached);
   });
@@ -262,8 +265,8 @@
 
 asio::awaitable<void> BackendClient::RunOrder(SendOrder action) {
   const TimePoint asked_at = clock_.Now();
-  // A process that was paused between decision and sending must not act on
-  // what it believed then: its ownership may be another's by now.
+  // Guards against a process that was paused between decision and sending:
+  // another host may have taken over ownership meanwhile.
   if (asked_at > action.order.send_by) co_return;
   HttpCall call;
   const absl::StatusOr<Address> address = ParseAddress(action.address);
--- a/drivers/backend_client.h
+++ b/drivers/backend_client.h
@@ -12,17 +12,19 @@
 
 namespace applehall {
 
-// Sends requests and orders to backend servers and streams answers back.
+// Sends requests and orders to backend servers and streams the responses to the
+// callers.
 class BackendClient {
  public:
-  // `shared_key` proves to other data centres that a request was forwarded.
+  // `shared_key` signs forwarded requests, so that other data centres accept
+  // them as forwarded.
   BackendClient(std::string data_centre, std::string shared_key,
                 DecisionThread& decisions);
 
   // Thread: the owner's.
   void Start();
   void Stop();
-  // Each is thread-safe; its end comes back as an event.
+  // Thread-safe. Results are reported to `decisions` as events.
   void Dispatch(const DispatchRequest& action,
                 std::shared_ptr<CallerSession> session);
   void Cancel(RequestHandle handle, int attempt);
@@ -34,17 +36,17 @@
 
   Task RunAttempt(DispatchRequest action, std::shared_ptr<HttpStream> stream,
                   std::shared_ptr<CallerSession> session);
-  boost::asio::awaitable<AttemptEnded> Attempt(const DispatchRequest& action,
-                                               HttpStream& stream,
-                                               CallerSession& session);
-  boost::asio::awaitable<AttemptEnded> PassWhole(const DispatchRequest& action,
-                                                 HttpStream& stream,
-                                                 CallerSession& session);
-  boost::asio::awaitable<AttemptEnded> PassStream(const DispatchRequest& action,
-                                                  HttpStream& stream,
-                                                  CallerSession& session);
+  boost::asio::awaitable<AttemptEnded> ExecuteAttempt(
+      const DispatchRequest& action, HttpStream& stream,
+      CallerSession& session);
+  boost::asio::awaitable<AttemptEnded> ForwardResponse(
+      const DispatchRequest& action, HttpStream& stream,
+      CallerSession& session);
+  boost::asio::awaitable<AttemptEnded> ForwardStream(
+      const DispatchRequest& action, HttpStream& stream,
+      CallerSession& session);
   Task RunOrder(SendOrder action);
-  Task RunProbeOf(ProbeServer action);
+  Task ProbeAndReport(ProbeServer action);
   Task Deliver(const Event& event);
   HttpCall MakeCall(const DispatchRequest& action,
                     const CallerSession& session) const;
@@ -55,11 +57,13 @@
   SystemClock clock_;
   IoThread thread_;
   HttpClient client_;
-  // Attempts under way, for cancelling. Thread: the backend's.
-  std::map<std::pair<RequestHandle, int>, std::shared_ptr<HttpStream>> open_;
+  // Running attempts, for Cancel(). Thread: the backend's.
+  std::map<std::pair<RequestHandle, int>, std::shared_ptr<HttpStream>>
+      attempts_;
 };
 
-// Proof that a request was forwarded by a host that holds the key.
+// Returns the HMAC of a request id, which proves that the host that forwarded
+// the request holds the shared key.
 std::string ForwardProof(const std::string& shared_key,
                          const std::string& request_id);
 
--- a/drivers/caller_session.cc
+++ b/drivers/caller_session.cc
@@ -10,39 +10,40 @@
 
 namespace {
 
-// Between looks at a caller that takes its answer slower than it comes.
-constexpr Duration kSlowCallerPause = std::chrono::milliseconds(2);
+// Interval at which a full buffer is checked for free space.
+constexpr Duration kFreeSpaceCheckInterval = std::chrono::milliseconds(2);
 
 }  // namespace
 
 void CallerSession::Push(ReplyPart part) {
   if (is_closed_) return;
-  PushAlways(std::move(part));
+  PushUnchecked(std::move(part));
 }
 
-void CallerSession::PushAlways(ReplyPart part) {
-  bytes_waiting_ += part.data.size();
+void CallerSession::PushUnchecked(ReplyPart part) {
+  buffered_bytes_ += part.data.size();
   asio::post(io_,
              [self = shared_from_this(), part = std::move(part)]() mutable {
                self->parts_.push_back(std::move(part));
-               self->wake_.cancel();
+               self->part_added_.cancel();
              });
 }
 
 asio::awaitable<ReplyPart> CallerSession::Next() {
   while (parts_.empty()) {
-    wake_.expires_at(asio::steady_timer::time_point::max());
-    co_await wake_.async_wait(asio::as_tuple(asio::use_awaitable));
+    part_added_.expires_at(asio::steady_timer::time_point::max());
+    co_await part_added_.async_wait(asio::as_tuple(asio::use_awaitable));
   }
   ReplyPart part = std::move(parts_.front());
   parts_.pop_front();
-  bytes_waiting_ -= part.data.size();
+  buffered_bytes_ -= part.data.size();
   co_return part;
 }
 
-asio::awaitable<void> CallerSession::AwaitRoom(asio::io_context& backend_io) {
+asio::awaitable<void> CallerSession::AwaitFreeSpace(
+    asio::io_context& backend_io) {
   while (is_full() && !is_closed()) {
-    co_await Sleep(backend_io, kSlowCallerPause);
+    co_await Sleep(backend_io, kFreeSpaceCheckInterval);
   }
 }
 
@@ -67,19 +68,19 @@
   Push(std::move(part));
 }
 
-std::optional<TimePoint> CallerSession::left_at() const {
-  const TimePoint at = left_at_;
+std::optional<TimePoint> CallerSession::disconnected_at() const {
+  const TimePoint at = disconnected_at_;
   if (at == TimePoint{}) return std::nullopt;
   return at;
 }
 
-void CallerSession::CallerLeft(TimePoint now) {
-  left_at_ = now;
+void CallerSession::HandleDisconnect(TimePoint now) {
+  disconnected_at_ = now;
   Close();
-  // Wakes whoever waits in Next(); a refusal is what it takes for the end.
-  ReplyPart gone;
-  gone.kind = ReplyPart::Kind::kRefusal;
-  PushAlways(std::move(gone));
+  // Ends a pending Next(), whose caller treats a refusal as the end.
+  ReplyPart end;
+  end.kind = ReplyPart::Kind::kRefusal;
+  PushUnchecked(std::move(end));
 }
 
 }  // namespace applehall
--- a/drivers/http_server.cc
+++ b/drivers/http_server.cc
@@ -44,12 +44,13 @@
   return request;
 }
 
-// Tells whether the peer closes while nobody reads its connection. Lives as
-// long as the wait, which outlasts the exchange by one turn of the loop.
-struct PeerWatch : std::enable_shared_from_this<PeerWatch> {
+// Detects that the peer closes its connection while no read is pending. Kept
+// alive by its wait, which ends one iteration of the event loop after the
+// exchange.
+struct PeerCloseWatcher : std::enable_shared_from_this<PeerCloseWatcher> {
   asio::cancellation_signal cancel;
-  std::function<void()> on_gone;
-  bool is_gone = false;
+  std::function<void()> on_disconnect;
+  bool is_disconnected = false;
   bool is_done = false;
 
   void Start(asio::ip::tcp::socket& socket) {
@@ -62,16 +63,16 @@
               char byte = 0;
               const auto size = ::recv(socket.native_handle(), &byte, 1,
                                        MSG_PEEK | MSG_DONTWAIT);
-              // More bytes are the next request; it waits its turn.
+              // These bytes belong to the next request, which is read later.
               if (size > 0) return;
-              self->is_gone = true;
-              if (self->on_gone) self->on_gone();
+              self->is_disconnected = true;
+              if (self->on_disconnect) self->on_disconnect();
             }));
   }
 
   void Stop() {
     is_done = true;
-    on_gone = nullptr;
+    on_disconnect = nullptr;
     cancel.emit(asio::cancellation_type::all);
   }
 };
@@ -85,15 +86,15 @@
         wants_keep_alive_(keep_alive),
         is_closing_(is_closing),
         limits_(limits),
-        watch_(std::make_shared<PeerWatch>()) {
+        watch_(std::make_shared<PeerCloseWatcher>()) {
     watch_->Start(stream_.socket());
   }
   ~BeastExchange() override { watch_->Stop(); }
 
   const HttpRequest& request() const override { return request_; }
-  bool is_peer_gone() const override { return watch_->is_gone; }
-  void SetOnPeerGone(std::function<void()> callback) override {
-    watch_->on_gone = std::move(callback);
+  bool is_peer_disconnected() const override { return watch_->is_disconnected; }
+  void SetOnPeerDisconnected(std::function<void()> callback) override {
+    watch_->on_disconnect = std::move(callback);
   }
 
   asio::awaitable<bool> Respond(HttpResponse&& response) override {
@@ -150,8 +151,8 @@
 
   void Abort() override { is_ok_ = false; }
 
-  // The connection can take another request.
-  bool can_go_on() const { return is_complete_ && keep_alive_; }
+  // True if the connection can serve another request.
+  bool can_serve_next() const { return is_complete_ && keep_alive_; }
 
  private:
   beast::tcp_stream& stream_;
@@ -160,7 +161,7 @@
   bool keep_alive_ = false;
   const bool& is_closing_;
   const HttpServerLimits& limits_;
-  std::shared_ptr<PeerWatch> watch_;
+  std::shared_ptr<PeerCloseWatcher> watch_;
   bool is_ok_ = true;
   bool is_complete_ = false;
 };
@@ -203,19 +204,19 @@
       auto [error, socket] = co_await self->acceptor_.async_accept(kToken);
       if (error == asio::error::operation_aborted) co_return;
       if (error) {
-        // Out of descriptors, say: wait for some to be closed.
+        // For example out of file descriptors: retry after some were closed.
         asio::steady_timer pause(self->io_, std::chrono::milliseconds(50));
         co_await pause.async_wait(kToken);
         continue;
       }
-      if (self->open_ >= self->limits_.connections) {
+      if (self->open_connections_ >= self->limits_.connections) {
         ++self->refused_;
-        continue;  // Closed by leaving the scope.
+        continue;  // The socket's destructor closes it.
       }
       error_code ignored;
       socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-      NoticeSilence(socket.native_handle());
-      ++self->open_;
+      EnableDeadPeerDetection(socket.native_handle());
+      ++self->open_connections_;
       asio::co_spawn(self->io_, Serve(self, std::move(socket)), asio::detached);
     }
   }
@@ -224,15 +225,15 @@
                                      asio::ip::tcp::socket socket) {
     beast::tcp_stream stream(std::move(socket));
     beast::flat_buffer buffer;
-    bool go_on = true;
+    bool keep_open = true;
     bool is_first = true;
-    while (go_on) {
-      go_on = co_await ServeOne(self, stream, buffer, is_first);
+    while (keep_open) {
+      keep_open = co_await ServeOne(self, stream, buffer, is_first);
       is_first = false;
     }
     error_code ignored;
     stream.socket().shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
-    --self->open_;
+    --self->open_connections_;
   }
 
   static asio::awaitable<bool> ServeOne(std::shared_ptr<Impl> self,
@@ -254,7 +255,7 @@
       error = body_error;
     }
     if (error) {
-      co_await ExplainReadError(*self, stream, error);
+      co_await RespondToReadError(*self, stream, error);
       co_return false;
     }
     const bool keep_alive = parser.keep_alive();
@@ -262,12 +263,12 @@
                            limits, self->is_closing_);
     stream.expires_never();
     co_await self->handler_(exchange);
-    co_return exchange.can_go_on();
+    co_return exchange.can_serve_next();
   }
 
-  static asio::awaitable<void> ExplainReadError(const Impl& server,
-                                                beast::tcp_stream& stream,
-                                                error_code error) {
+  static asio::awaitable<void> RespondToReadError(const Impl& server,
+                                                  beast::tcp_stream& stream,
+                                                  error_code error) {
     HttpResponse answer;
     if (error == http::error::header_limit) {
       answer = LimitRefusal(431, "header_too_large");
@@ -277,7 +278,7 @@
                error == beast::error::timeout ||
                error.category() !=
                    http::make_error_code(http::error::bad_version).category()) {
-      co_return;  // Nobody is there to read an answer.
+      co_return;  // The peer disconnected or timed out.
     } else {
       answer = LimitRefusal(400, "malformed_http");
     }
@@ -292,7 +293,7 @@
   HttpServerLimits limits_;
   bool is_closing_ = false;
   uint16_t port_;
-  size_t open_ = 0;
+  size_t open_connections_ = 0;
   std::atomic<uint64_t> refused_{0};
 };
 
--- a/drivers/io_thread.h
+++ b/drivers/io_thread.h
@@ -10,27 +10,28 @@
 
 namespace applehall {
 
-// A thread for one duty of I/O, with a bounded queue of work from others.
+// A thread that runs one io_context, with a bounded queue of work from other
+// threads.
 class IoThread {
  public:
-  explicit IoThread(size_t most_queued)
-      : most_queued_(most_queued), guard_(boost::asio::make_work_guard(io_)) {}
+  explicit IoThread(size_t max_queued)
+      : max_queued_(max_queued), guard_(boost::asio::make_work_guard(io_)) {}
   ~IoThread() { Stop(); }
 
   // Requires: called once. Thread: the owner's.
   void Start() {
     thread_ = std::thread([this] { io_.run(); });
   }
-  // Drops what is queued. Thread: the owner's.
+  // Stops the thread and drops queued work. Thread: the owner's.
   void Stop() {
     io_.stop();
     if (thread_.joinable()) thread_.join();
   }
-  // Runs `work` on the thread; false, and nothing runs, if the queue is full.
-  // Thread-safe.
+  // Runs `work` on the thread. Returns false, and drops `work`, if the queue is
+  // full. Thread-safe.
   template <typename Work>
   bool TryPost(Work work) {
-    if (queued_.fetch_add(1) >= most_queued_) {
+    if (queued_.fetch_add(1) >= max_queued_) {
       queued_.fetch_sub(1);
       return false;
     }
@@ -44,7 +45,7 @@
   size_t queued() const { return queued_; }
 
  private:
-  size_t most_queued_;
+  size_t max_queued_;
   std::atomic<size_t> queued_{0};
   boost::asio::io_context io_{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
--- a/drivers/turn_queue.h
+++ b/drivers/turn_queue.h
@@ -9,52 +9,52 @@
 
 namespace applehall {
 
-// Bulk work of an event loop, one item a turn.
+// Queue of bulk work that an event loop handles one item per iteration.
 //
-// Handlers that are ready run in the order in which they became so. With each
-// item a handler of its own, a burst of them would run before a socket is
-// looked at again, and callers that close would be noticed after all of it.
+// An event loop runs all ready handlers in order before it polls its sockets
+// again. With one posted handler per item, a burst of items would delay socket
+// events, such as the disconnect of a caller, until all items are handled.
 template <typename T>
 class TurnQueue {
  public:
-  // `take` must not block. Requires: `io` outlives this, and one thread runs
+  // `handler` must not block. Requires: `io` outlives this, and one thread runs
   // it.
   TurnQueue(boost::asio::io_context& io, size_t capacity,
-            std::function<void(T)> take)
-      : io_(io), capacity_(capacity), take_(std::move(take)) {}
+            std::function<void(T)> handler)
+      : io_(io), capacity_(capacity), handler_(std::move(handler)) {}
 
-  // Adds an item; false if there was no room and the oldest was dropped for it.
-  // Thread: the one that runs `io`.
+  // Adds an item. Returns false if the queue was full and its oldest item was
+  // dropped. Thread: the one that runs `io`.
   bool Push(T item) {
     items_.push_back(std::move(item));
-    const bool has_room = items_.size() <= capacity_;
-    if (!has_room) items_.pop_front();
+    const bool has_capacity = items_.size() <= capacity_;
+    if (!has_capacity) items_.pop_front();
     Schedule();
-    return has_room;
+    return has_capacity;
   }
 
-  // Items that wait. Thread: the one that runs `io`.
+  // Number of queued items. Thread: the one that runs `io`.
   size_t size() const { return items_.size(); }
 
  private:
   void Schedule() {
     if (is_scheduled_ || items_.empty()) return;
     is_scheduled_ = true;
-    boost::asio::post(io_, [this] { TakeOne(); });
+    boost::asio::post(io_, [this] { HandleNext(); });
   }
 
-  void TakeOne() {
+  void HandleNext() {
     is_scheduled_ = false;
     T item = std::move(items_.front());
     items_.pop_front();
-    // First, as the item may add others.
+    // Scheduled first, as handling the item may push others.
     Schedule();
-    take_(std::move(item));
+    handler_(std::move(item));
   }
 
   boost::asio::io_context& io_;
   const size_t capacity_;
-  std::function<void(T)> take_;
+  std::function<void(T)> handler_;
   std::deque<T> items_;
   bool is_scheduled_ = false;
 };
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -18,17 +18,18 @@
 
 namespace applehall {
 
-// One applehall process: a Node and a thread for each of its duties (callers,
-// operators, backend servers, peers, platform, decisions, log lines).
+// One applehall process: a Node with one thread each for callers, operators,
+// backend servers, peers, platform, decisions and log lines.
 class Daemon {
  public:
   // Binds all addresses; throws std::exception if one cannot be bound.
   explicit Daemon(DaemonSettings settings);
   ~Daemon();
 
-  // Runs until a drain is done. Thread: the main one.
+  // Runs until a drain has finished. Thread: the main one.
   void Run();
-  // Begins a drain, as SIGTERM does; once more changes nothing. Thread-safe.
+  // Starts a drain, as SIGTERM does; has no effect if one has started already.
+  // Thread-safe.
   void Drain();
   // The bound ports. Thread-safe.
   uint16_t callers_port() const { return caller_server_->port(); }
@@ -42,32 +43,33 @@
   Task HandleCaller(HttpExchange& exchange);
   Task ListModels(HttpExchange& exchange);
   Task ServeRequest(HttpExchange& exchange);
-  Task PassAnswer(HttpExchange& exchange, CallerSession& session,
-                  const std::string& request_id);
+  Task SendResponse(HttpExchange& exchange, CallerSession& session,
+                    const std::string& request_id);
   // Operators' thread.
   Task HandleOperator(HttpExchange& exchange);
-  // Runs a query on the decision thread; empty if it is overloaded.
-  boost::asio::awaitable<std::string> Ask(
+  // Runs a query on the decision thread and returns its result; empty if the
+  // thread is overloaded.
+  boost::asio::awaitable<std::string> RunQuery(
       IoThread& thread, const std::function<std::string(const Node&)>& query);
 
   // Decision thread.
   void Perform(Action action);
-  void On(const DispatchRequest& action);
-  void On(const CancelAttempt& action);
-  void On(const RefuseRequest& action);
-  void On(const SendOrder& action);
-  void On(const ProbeServer& action);
-  void On(const AppendRecord& action);
-  void On(const SendPeer& action);
-  void On(const SendPeers& action);
-  void On(const Drained& action);
-  // Only fleets have a lease; this platform has groups.
-  void On(const ReadLease&) {}
-  void On(const AppendLease&) {}
-  void On(const SetStorePolling&) {}
-  void On(const ApplyStoreUpdates&) {}
-  void On(const ReadQuarantine&) {}
-  void On(const AppendQuarantine&) {}
+  void Execute(const DispatchRequest& action);
+  void Execute(const CancelAttempt& action);
+  void Execute(const RefuseRequest& action);
+  void Execute(const SendOrder& action);
+  void Execute(const ProbeServer& action);
+  void Execute(const AppendRecord& action);
+  void Execute(const SendPeer& action);
+  void Execute(const SendPeers& action);
+  void Execute(const Drained& action);
+  // No-ops: only fleets have a lease; this platform has engine groups.
+  void Execute(const ReadLease&) {}
+  void Execute(const AppendLease&) {}
+  void Execute(const SetStorePolling&) {}
+  void Execute(const ApplyStoreUpdates&) {}
+  void Execute(const ReadQuarantine&) {}
+  void Execute(const AppendQuarantine&) {}
 
   std::shared_ptr<CallerSession> FindSession(RequestHandle handle);
   void WriteAddresses() const;
--- a/standins/standin_server.cc
+++ b/standins/standin_server.cc
@@ -226,13 +226,13 @@
     co_return false;
   }
   if (faults.is_frozen) {
-    while (faults_[name].is_frozen && !exchange.is_peer_gone()) {
+    while (faults_[name].is_frozen && !exchange.is_peer_disconnected()) {
       co_await Sleep(io_, std::chrono::milliseconds(20));
     }
   }
   if (faults.response_delay > Duration::zero())
     co_await Sleep(io_, faults.response_delay);
-  co_return !exchange.is_peer_gone();
+  co_return !exchange.is_peer_disconnected();
 }
 
 asio::awaitable<void> StandinServer::SendResponse(const std::string& name,
@@ -307,7 +307,8 @@
       Now() +
       std::min<Duration>(std::chrono::milliseconds(wait_ms), kMaxLogWait);
   LogBatch batch = log_.Read(stream, from, kMaxRecordsPerRead, Now());
-  while (batch.records.empty() && Now() < until && !exchange.is_peer_gone()) {
+  while (batch.records.empty() && Now() < until &&
+         !exchange.is_peer_disconnected()) {
     co_await Sleep(io_, kLogPoll);
     if (faults_["log"].is_down) {
       exchange.Abort();
--- a/tests/drivers/http_test.cc
+++ b/tests/drivers/http_test.cc
@@ -1,4 +1,5 @@
-// The HTTP drivers against each other on loopback, with what peers do wrong.
+// Tests of HTTP client, HTTP server and peer links on loopback, with faulty
+// peers.
 
 #include <gtest/gtest.h>
 
@@ -54,7 +55,7 @@
     return call;
   }
 
-  // Sends bytes as they are; what comes back until the server closes.
+  // Sends raw bytes; returns all that is received until the server closes.
   std::string SendRaw(const std::string& bytes) {
     asio::io_context io;
     asio::ip::tcp::socket socket(io);
@@ -71,7 +72,7 @@
   std::thread thread_;
 };
 
-TEST_F(HttpTest, AnswersAndKeepsConnections) {
+TEST_F(HttpTest, AnswersRepeatedCalls) {
   StartServer({});
   for (int i = 0; i < 3; ++i) {
     const HttpResult result = FetchBlocking(Call("/x", "hello"));
@@ -80,7 +81,7 @@
   }
 }
 
-TEST_F(HttpTest, LimitsAreRefusedWithTheirReason) {
+TEST_F(HttpTest, OversizedRequestsAreRefused) {
   HttpServerLimits limits;
   limits.header_bytes = 1024;
   limits.body_bytes = 100;
@@ -92,7 +93,7 @@
   EXPECT_EQ(FetchBlocking(call).response.status, 431);
 }
 
-TEST_F(HttpTest, MalformedRequestsAreToldSo) {
+TEST_F(HttpTest, MalformedRequestsAreRefusedWith400) {
   StartServer({});
   for (const char* bytes :
        {"what is this\r\n\r\n", "GET / HTTP/9.9\r\n\r\n",
@@ -102,11 +103,10 @@
   }
 }
 
-// A request goes into a connection whose peer is cut off; the caller gives up
-// after its timeout. Closed politely, the kernel would deliver the bytes when
-// the path is back, and the peer would act on what nobody stands for any more.
-// A peer that sees a reset has been told to discard them.
-TEST(HttpClientTest, GivenUpRequestIsTakenBack) {
+// Guards against a timed-out request that the kernel still delivers when a
+// network partition ends, after the client has closed the connection normally.
+// A peer that receives a reset discards the bytes.
+TEST(HttpClientTest, TimedOutRequestIsDiscarded) {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io,
                                    {asio::ip::make_address("127.0.0.1"), 0});
@@ -114,7 +114,7 @@
   call.address = {"127.0.0.1", acceptor.local_endpoint().port()};
   call.request.method = "POST";
   call.request.target = "/order";
-  call.whole_timeout = std::chrono::milliseconds(50);
+  call.total_timeout = std::chrono::milliseconds(50);
   const HttpResult result = FetchBlocking(call);
   EXPECT_EQ(result.state, SendState::kMayBeSent);
   boost::system::error_code error;
@@ -124,29 +124,27 @@
   EXPECT_EQ(error, asio::error::connection_reset) << error.message();
 }
 
-// The time for a whole call has passed before anything was sent: the peer must
-// not see it.
-TEST(HttpClientTest, NothingIsSentAfterTheWholeTimeout) {
+// Guards against a request that is sent after the timeout of the whole call.
+TEST(HttpClientTest, NothingIsSentAfterTotalTimeout) {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io,
                                    {asio::ip::make_address("127.0.0.1"), 0});
   HttpCall call;
   call.address = {"127.0.0.1", acceptor.local_endpoint().port()};
-  call.whole_timeout = Duration{0};
+  call.total_timeout = Duration{0};
   EXPECT_EQ(FetchBlocking(call).state, SendState::kNotSent);
 }
 
-// A caller opens a connection and never sends its header. It must not hold
-// the connection for ever.
-TEST_F(HttpTest, SlowHeaderIsCutOff) {
+// Guards against a caller that holds a connection for ever by never completing
+// its header.
+TEST_F(HttpTest, ConnectionWithIncompleteHeaderIsClosed) {
   HttpServerLimits limits;
   limits.header_timeout = std::chrono::milliseconds(50);
   StartServer(limits);
   EXPECT_EQ(SendRaw("GET / HTTP/1.1\r\nHost: "), "");
 }
 
-// More connections than allowed: those past the limit are closed at once,
-// the others go on.
+// Connections past the limit are closed at once; open ones continue.
 TEST_F(HttpTest, ConnectionsAreLimited) {
   HttpServerLimits limits;
   limits.connections = 1;
@@ -155,7 +153,7 @@
   asio::ip::tcp::socket first(io);
   first.connect({asio::ip::make_address("127.0.0.1"), server_->port()});
   asio::write(first, asio::buffer(std::string("POST / HTTP/1.1\r\n")));
-  // The first connection is open for sure once a second one is refused.
+  // A refused second connection proves that the first was accepted.
   HttpResult second = FetchBlocking(Call("/x", "a"));
   for (int i = 0; i < 100 && second.is_ok(); ++i) {
     second = FetchBlocking(Call("/x", "a"));
@@ -167,16 +165,15 @@
   EXPECT_EQ(answer, "HTTP/1.1 200");
 }
 
-// The server breaks amid a stream. The client must not take the half for the
-// whole.
-TEST_F(HttpTest, BrokenStreamIsNotWhole) {
+// Guards against a truncated response that the client reports as complete.
+TEST_F(HttpTest, TruncatedResponseIsReported) {
   StartServer({});
   const HttpResult result = FetchBlocking(Call("/broken", ""));
   EXPECT_EQ(result.state, SendState::kMayBeSent);
   EXPECT_EQ(result.response.body, "half of it");
 }
 
-TEST_F(HttpTest, RefusedConnectionIsNotSent) {
+TEST_F(HttpTest, RefusedConnectionCountsAsNotSent) {
   StartServer({});
   HttpCall call = Call("/x", "a");
   asio::io_context io;
@@ -186,7 +183,7 @@
   EXPECT_EQ(FetchBlocking(call).state, SendState::kNotSent);
 }
 
-// Two links, and what each was told; a test waits for what it expects.
+// Two links with the messages and events that each received.
 class WebsocketLinkTest : public testing::Test {
  protected:
   struct End {
@@ -231,11 +228,11 @@
   }
 
   static bool Await(End& end, std::vector<std::string> End::*list,
-                    const std::string& wanted) {
+                    const std::string& expected) {
     std::unique_lock<std::mutex> lock(end.mutex);
     return end.changed.wait_for(lock, std::chrono::seconds(20), [&] {
       const auto& all = end.*list;
-      return std::find(all.begin(), all.end(), wanted) != all.end();
+      return std::find(all.begin(), all.end(), expected) != all.end();
     });
   }
 };
@@ -253,8 +250,8 @@
   b.link->Stop();
 }
 
-// A host with another key must not be listened to.
-TEST_F(WebsocketLinkTest, WrongKeyIsRefused) {
+// Guards against messages from a host with another shared key.
+TEST_F(WebsocketLinkTest, LinkWithWrongKeyIsRejected) {
   End a;
   End b;
   Start(a, "a", "the shared key");
--- a/tests/main/daemon_test.cc
+++ b/tests/main/daemon_test.cc
@@ -105,18 +105,20 @@
     return FetchBlocking(call);
   }
 
-  HttpResult ToHost(const std::string& host, const std::string& target,
-                    const std::string& body, const HttpHeaders& headers = {}) {
+  HttpResult SendToHost(const std::string& host, const std::string& target,
+                        const std::string& body,
+                        const HttpHeaders& headers = {}) {
     return Send({"127.0.0.1", daemons_.at(host)->callers_port()}, "POST",
                 target, body, headers);
   }
 
-  Json Truth() {
+  Json FetchTruth() {
     return *ParseJson(
         Send(*ParseAddress(platform_), "GET", "/truth", "", {}).response.body);
   }
 
-  // Asks until it holds; the tests' own time limit ends a wait in vain.
+  // Polls until `condition` holds; otherwise the time limit of the test run
+  // ends the wait.
   static void Await(const std::function<bool()>& condition) {
     while (!condition()) {
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -131,7 +133,7 @@
       const Address operators{"127.0.0.1", daemon->operators_port()};
       Await([&] { return Send(operators, "GET", "/readyz", "", {}).is_ok(); });
     }
-    // A door answers once the claims stream was read.
+    // Door requests succeed once the host has read the claims stream.
     Await([&] { return OpenDoor("entry-1", NewKey()).is_ok(); });
     Await([&] { return OpenDoor("entry-2", NewKey()).is_ok(); });
   }
@@ -139,7 +141,8 @@
   std::string NewKey() { return MakeUuid7(SystemClock().Now(), random_); }
 
   HttpResult OpenDoor(const std::string& host, const std::string& key) {
-    return ToHost(host, "/services/doors/7", "{}", {{"idempotency-key", key}});
+    return SendToHost(host, "/services/doors/7", "{}",
+                      {{"idempotency-key", key}});
   }
 
   static std::string ChatBody(const std::string& model,
@@ -151,7 +154,8 @@
         .dump();
   }
 
-  // The content of a stream's events, or empty if it has no proper end.
+  // Returns the content of a stream's events; empty if the stream is
+  // incomplete.
   static std::string StreamContent(const std::string& body) {
     std::string content;
     size_t at = 0;
@@ -181,25 +185,24 @@
   std::vector<std::thread> threads_;
 };
 
-// Forty callers at two hosts, whole answers and streams, while the engines'
-// answers to some are held back past those that came later. Each must get the
-// answer to its own request.
-TEST_F(DaemonTest, CrossedAnswersReachTheirOwnCallers) {
+// Guards against responses sent to the wrong caller: engines hold back some
+// responses past later ones, whole and streamed, for 40 callers at two hosts.
+TEST_F(DaemonTest, ReorderedResponsesReachTheirCallers) {
   PublishAndAwaitReady();
   for (const char* engine : {"engine-1", "engine-2"}) {
     Platform("/fault",
              Json{{"target", engine}, {"kind", "reorder"}, {"count", 10}});
   }
   std::vector<std::thread> callers;
-  std::atomic<int> right{0};
+  std::atomic<int> correct_responses{0};
   for (int i = 0; i < 40; ++i) {
-    callers.emplace_back([this, i, &right] {
+    callers.emplace_back([this, i, &correct_responses] {
       const std::string model = "model-" + std::to_string(i % 3);
       const bool stream = i % 2 == 0;
       const std::string body =
           ChatBody(model, "prompt " + std::to_string(i), stream);
       const HttpResult result =
-          ToHost(i % 4 < 2 ? "entry-1" : "entry-2", kChat, body);
+          SendToHost(i % 4 < 2 ? "entry-1" : "entry-2", kChat, body);
       std::string content;
       if (stream) {
         content = StreamContent(result.response.body);
@@ -208,44 +211,46 @@
             result.response.body))["choices"][0]["message"]["content"]
                       .get<std::string>();
       }
-      right += content == Expected(model, body);
+      correct_responses += content == Expected(model, body);
     });
   }
   for (std::thread& caller : callers) caller.join();
-  EXPECT_EQ(right, 40);
+  EXPECT_EQ(correct_responses, 40);
 }
 
-// The engine breaks a stream midway. It can go on where it broke, so the
-// caller must get the whole answer, without a gap and without a doubled word.
+// The engine breaks a stream midway and can resume it: the caller must get the
+// complete response, without gaps or repeated words.
 TEST_F(DaemonTest, BrokenStreamIsResumed) {
   PublishAndAwaitReady();
   const std::string body = ChatBody("model-1", "tell me", true);
-  ASSERT_TRUE(ToHost("entry-1", kChat, body).is_ok());
+  ASSERT_TRUE(SendToHost("entry-1", kChat, body).is_ok());
   for (const char* engine : {"engine-1", "engine-2"}) {
     Platform("/fault", Json{{"target", engine}, {"kind", "break_stream"}});
   }
-  const HttpResult result = ToHost("entry-1", kChat, body);
+  const HttpResult result = SendToHost("entry-1", kChat, body);
   EXPECT_EQ(StreamContent(result.response.body), Expected("model-1", body));
 }
 
-// A host is drained with thirty requests open, most for cold models.
-TEST_F(DaemonTest, DrainUnderLoadCutsNone) {
+// Guards against requests cut by a drain: thirty are open, most for cold
+// models.
+TEST_F(DaemonTest, DrainUnderLoadCompletesOrRefusesRequests) {
   PublishAndAwaitReady();
   std::vector<std::thread> callers;
   std::atomic<int> arrived{0};
-  std::atomic<int> whole{0};
+  std::atomic<int> complete{0};
   std::atomic<int> refused{0};
   for (int i = 0; i < 30; ++i) {
     callers.emplace_back([&, i] {
       const std::string model = "model-" + std::to_string(i % 6);
       const std::string body = ChatBody(model, std::to_string(i), true);
       ++arrived;
-      const HttpResult result = ToHost("entry-1", kChat, body);
+      const HttpResult result = SendToHost("entry-1", kChat, body);
       if (result.response.status == 503) {
         refused +=
             result.response.body.find("\"not_run\"") != std::string::npos;
       } else {
-        whole += StreamContent(result.response.body) == Expected(model, body);
+        complete +=
+            StreamContent(result.response.body) == Expected(model, body);
       }
     });
   }
@@ -253,24 +258,24 @@
   daemons_.at("entry-1")->Drain();
   daemons_.at("entry-1")->Drain();
   for (std::thread& caller : callers) caller.join();
-  EXPECT_EQ(whole + refused, 30)
-      << whole << " whole, " << refused << " refused as not run";
+  EXPECT_EQ(complete + refused, 30)
+      << complete << " complete, " << refused << " refused as not run";
 }
 
-// A kiosk repeats a door-open at the other host.
+// Guards against a second run of a request that is repeated at another host.
 TEST_F(DaemonTest, RepeatedKeyIsAnsweredWith409) {
   PublishAndAwaitReady();
   const std::string key = NewKey();
   EXPECT_TRUE(OpenDoor("entry-1", key).is_ok());
   const HttpResult again = OpenDoor("entry-2", key);
   EXPECT_EQ(again.response.status, 409);
-  EXPECT_EQ(Truth()["services"]["doors-1"]["runs"][key], 1);
+  EXPECT_EQ(FetchTruth()["services"]["doors-1"]["runs"][key], 1);
   EXPECT_EQ(OpenDoor("entry-1", "").response.status, 400);
   EXPECT_EQ(OpenDoor("entry-1", "door-7").response.status, 400);
 }
 
-// The log takes the operator's record, and its answer is lost.
-TEST_F(DaemonTest, PublishWithALostAnswerIsSettled) {
+// The log appends the operator's record, but its response is lost.
+TEST_F(DaemonTest, PublishWithLostResponseIsResolved) {
   PublishAndAwaitReady();
   std::ofstream(rules_path_) << TestRules("second").dump();
   Platform("/fault", Json{{"target", "log"}, {"kind", "duplicate"}});
@@ -285,11 +290,11 @@
             CommandExit::kBadInput);
 }
 
-TEST_F(DaemonTest, BadInputIsToldClearly) {
+TEST_F(DaemonTest, InvalidInputIsRefusedAsNotRun) {
   PublishAndAwaitReady();
   const auto status = [&](const std::string& target, const std::string& body,
                           const HttpHeaders& headers = {}) {
-    const HttpResult result = ToHost("entry-1", target, body, headers);
+    const HttpResult result = SendToHost("entry-1", target, body, headers);
     EXPECT_NE(result.response.body.find("\"verdict\":\"not_run\""),
               std::string::npos)
         << target << " " << body;
@@ -307,20 +312,20 @@
   EXPECT_EQ(status("/services/unknown/x", "{}"), 503);
 }
 
-// Every answer and every refusal names the rule that decided it, and the
-// decision can be looked up by the request's id.
-TEST_F(DaemonTest, DecisionsAreTracedToTheirRule) {
+// Responses name the rule that decided them, and the decision can be looked up
+// by the request id.
+TEST_F(DaemonTest, DecisionsNameTheirRule) {
   PublishAndAwaitReady();
   const HttpResult result =
-      ToHost("entry-1", kChat, ChatBody("model-2", "x", false),
-             {{"x-request-id", "my-request"}});
+      SendToHost("entry-1", kChat, ChatBody("model-2", "x", false),
+                 {{"x-request-id", "my-request"}});
   ASSERT_TRUE(result.is_ok());
   EXPECT_EQ(result.response.headers.at("applehall-rule"), "1/rest");
   EXPECT_EQ(result.response.headers.at("x-request-id"), "my-request");
   const Address operators{"127.0.0.1",
                           daemons_.at("entry-1")->operators_port()};
-  // The answer's last bytes leave on another thread than the decision's record
-  // is made on, so the caller may ask before it stands.
+  // The response is sent and the decision recorded on different threads, so the
+  // record may not exist yet.
   absl::StatusOr<Json> decisions;
   Await([&] {
     decisions = ParseJson(
--- a/tests/platform/edge_test.cc
+++ b/tests/platform/edge_test.cc
@@ -379,7 +379,7 @@
   server_.answers = {kAnswer};
   const RequestHandle handle = SendRequest().handle;
   Dispatch(handle);
-  ingress_.Find(handle)->CallerLeft(SystemClock().Now());
+  ingress_.Find(handle)->HandleDisconnect(SystemClock().Now());
   EXPECT_EQ(WaitForAttemptEnd().result, AttemptResult::kNotSent);
   EXPECT_TRUE(server_.requests.empty());
 }
@@ -387,7 +387,7 @@
 TEST_F(EdgeTest, CancelAfterCallerCloseIsReported) {
   const RequestHandle handle = SendRequest().handle;
   Dispatch(handle);
-  ingress_.Find(handle)->CallerLeft(SystemClock().Now());
+  ingress_.Find(handle)->HandleDisconnect(SystemClock().Now());
   engines_.Cancel(CancelAttempt{handle, 1});
   engines_.Cancel(CancelAttempt{handle, 2});
   EXPECT_EQ(cancels_after_close_, 1);
