--- a/core/api_key.h
+++ b/core/api_key.h
@@ -7,11 +7,11 @@
 
 namespace applehall {
 
-// The SHA-256 digest of an API key. Only digests are kept and passed on, so
-// that no dump, log line or message between hosts can give a key away.
+// The SHA-256 digest of an API key. Only digests are stored and sent, so that
+// no dump, log line or message between hosts can leak a key.
 //
-// Digests are compared in constant time. Their order is of no use to a guesser:
-// a chosen key does not move its digest by a chosen step.
+// Digests are compared in constant time. Lookup by prefix leaks nothing useful:
+// an attacker cannot choose a key that moves its digest in a chosen way.
 class ApiKeyDigest {
  public:
   static constexpr size_t kBytes = 32;
@@ -19,10 +19,10 @@
   // Requires: nothing. Thread-safe.
   static ApiKeyDigest Of(std::string_view key);
 
-  // Where to look the digest up; equal digests have equal prefixes. Requires:
+  // Lookup key of the digest; equal digests have equal prefixes. Requires:
   // nothing. Thread-safe.
   uint64_t Prefix() const;
-  // Takes the same time whichever bytes differ. Thread-safe.
+  // Runs in constant time. Thread-safe.
   bool operator==(const ApiKeyDigest& other) const;
 
  private:
--- a/core/byte_patch.cc
+++ b/core/byte_patch.cc
@@ -6,11 +6,11 @@
 namespace applehall {
 namespace {
 
-// Shorter common parts are not worth their 8 bytes of a copy.
+// Common parts that are shorter do not pay for the 8 bytes that encode a copy.
 constexpr size_t kBlock = 32;
 constexpr uint32_t kLiteral = 0xffffffff;
 constexpr size_t kNumberBytes = 4;
-// Of the polynomial hash of a window of kBlock bytes.
+// Base of the polynomial rolling hash over a window of kBlock bytes.
 constexpr uint64_t kFactor = 0x100000001b3;
 
 constexpr uint64_t HighestPower() {
@@ -23,7 +23,7 @@
   return static_cast<unsigned char>(bytes[at]);
 }
 
-// Requires: kBlock bytes from `at` on.
+// Requires: at least kBlock bytes from `at`.
 uint64_t HashOfBlock(std::string_view bytes, size_t at) {
   uint64_t hash = 0;
   for (size_t i = 0; i < kBlock; ++i) {
@@ -50,8 +50,9 @@
   AppendNumber(static_cast<uint32_t>(size), patch);
 }
 
-// Takes a number off the front. Requires: kNumberBytes bytes.
-uint32_t TakeNumber(std::string_view& patch) {
+// Reads a number and removes it from the front. Requires: at least kNumberBytes
+// bytes.
+uint32_t ConsumeNumber(std::string_view& patch) {
   uint32_t number = 0;
   for (size_t i = 0; i < kNumberBytes; ++i) {
     number |= static_cast<uint32_t>(Byte(patch, i)) << (8 * i);
@@ -84,7 +85,7 @@
   }
   constexpr uint64_t kHighest = HighestPower();
   std::string patch;
-  size_t written = 0;  // Of the target.
+  size_t written = 0;  // Bytes of the target that the patch covers so far.
   size_t at = 0;
   uint64_t hash = target.size() >= kBlock ? HashOfBlock(target, 0) : 0;
   while (at + kBlock <= target.size()) {
@@ -100,7 +101,7 @@
       ++at;
       continue;
     }
-    // The common part begins before the block and goes on after it.
+    // Extends the match to both sides of the block.
     const size_t before = CommonSuffix(base.substr(0, block->second),
                                        target.substr(written, at - written));
     const size_t from = block->second - before;
@@ -117,13 +118,13 @@
 
 std::optional<std::string> ApplyBytePatch(std::string_view base,
                                           std::string_view patch,
-                                          size_t most_bytes) {
+                                          size_t max_bytes) {
   std::string target;
   while (!patch.empty()) {
     if (patch.size() < 2 * kNumberBytes) return std::nullopt;
-    const uint32_t from = TakeNumber(patch);
-    const uint32_t size = TakeNumber(patch);
-    if (size > most_bytes - target.size()) return std::nullopt;
+    const uint32_t from = ConsumeNumber(patch);
+    const uint32_t size = ConsumeNumber(patch);
+    if (size > max_bytes - target.size()) return std::nullopt;
     const bool is_literal = from == kLiteral;
     const std::string_view source = is_literal ? patch : base;
     const size_t begin = is_literal ? 0 : from;
--- a/core/byte_patch.h
+++ b/core/byte_patch.h
@@ -8,22 +8,23 @@
 
 namespace applehall {
 
-// What turns one byte string into a later one that shares most of it: copies of
-// its parts and the bytes between them. Its size grows with the change, not
-// with the whole, wherever in the string the changes are.
+// A byte patch is a binary delta that turns a base string into a target string:
+// copied ranges of the base and literal bytes between them. Its size grows with
+// the change, not with the strings, wherever in the string the changes are.
 //
-// Encoded as parts of two little-endian 32-bit numbers each, where in the base
-// a copy begins and its length, or kLiteral and the length of the bytes that
-// follow.
+// A patch is a sequence of operations. Each starts with two little-endian
+// 32-bit numbers: the offset of a copy in the base and its length, or kLiteral
+// and the length of the literal bytes that follow.
 
-// Requires: both shorter than 4 GB. Thread-safe.
+// Returns a patch from `base` to `target`. Requires: both shorter than 4 GB.
+// Thread-safe.
 std::string MakeBytePatch(std::string_view base, std::string_view target);
 
-// Nothing if the patch is malformed, does not fit the base or makes more than
-// `most_bytes`. Thread-safe.
+// Returns the target; nothing if the patch is malformed, does not fit the base
+// or yields more than `max_bytes`. Thread-safe.
 std::optional<std::string> ApplyBytePatch(std::string_view base,
                                           std::string_view patch,
-                                          size_t most_bytes);
+                                          size_t max_bytes);
 
 }  // namespace applehall
 
--- a/core/clock.h
+++ b/core/clock.h
@@ -8,21 +8,21 @@
 
 namespace applehall {
 
-// Microseconds are fine enough for every decision and keep dumps readable.
+// Microseconds are precise enough for every decision and keep dumps readable.
 using Duration = std::chrono::microseconds;
 using TimePoint = std::chrono::sys_time<Duration>;
 
-// A source of the present time. Decision parts never read a clock; they are
-// handed the time, so that tests can pause and advance it.
+// A source of the current time. Decision code never reads a clock; it receives
+// the time as an argument, so that tests can stop and advance it.
 template <typename C>
 concept ClockSource = requires(const C& clock) {
   { clock.Now() } -> std::same_as<TimePoint>;
 };
 
-// Wall time at start plus time since boot, so it never steps back when the
-// machine's wall clock is corrected. Time during which the machine was
-// suspended counts: the steady clock leaves it out, and a woken process would
-// believe in leases and deadlines that have long lapsed.
+// Wall time at start plus time since boot, so that it never goes backwards when
+// the machine's wall clock is corrected. CLOCK_BOOTTIME counts the time that
+// the machine is suspended. The steady clock does not: after a resume the
+// process would treat expired leases and deadlines as valid.
 class SystemClock {
  public:
   SystemClock()
@@ -47,7 +47,7 @@
   std::chrono::nanoseconds boot_start_;
 };
 
-// A clock that moves only when told. Use it in tests and measurements.
+// A clock that moves only by Advance(), for tests and measurements.
 class PausedClock {
  public:
   explicit PausedClock(TimePoint start) : now_(start) {}
--- a/core/event_log.cc
+++ b/core/event_log.cc
@@ -18,13 +18,13 @@
 
 namespace sinks = boost::log::sinks;
 
-constexpr std::size_t kMostQueuedLines = 4096;
+constexpr std::size_t kMaxQueuedLines = 4096;
 
 std::atomic<uint64_t> g_dropped_lines{0};
 
-// Like Boost.Log's own strategy to drop, but counted: an engineer who misses a
-// line must be able to tell that lines are missing.
-struct CountedDrop {
+// Boost.Log's drop-on-overflow strategy with a counter, which shows whether a
+// missing line was dropped.
+struct CountingDropOnOverflow {
   template <typename LockT>
   static bool on_overflow(const boost::log::record_view&, LockT&) {
     ++g_dropped_lines;
@@ -36,11 +36,11 @@
 
 using LineSink = sinks::asynchronous_sink<
     sinks::text_ostream_backend,
-    sinks::bounded_fifo_queue<kMostQueuedLines, CountedDrop>>;
+    sinks::bounded_fifo_queue<kMaxQueuedLines, CountingDropOnOverflow>>;
 
 std::atomic<bool> g_started{false};
-std::atomic<int> g_least_level{0};
-std::string g_host;                  // Set once, before other threads start.
+std::atomic<int> g_min_level{0};
+std::string g_host;  // Written once, before other threads start.
 boost::shared_ptr<LineSink> g_sink;  // Likewise.
 
 constexpr std::string_view LevelName(LogLevel level) {
@@ -83,8 +83,8 @@
   line += '"';
 }
 
-void StartEventLog(LogLevel least, const std::string& host) {
-  g_least_level = static_cast<int>(least);
+void StartEventLog(LogLevel min_level, const std::string& host) {
+  g_min_level = static_cast<int>(min_level);
   g_host = host;
   auto backend = boost::make_shared<sinks::text_ostream_backend>();
   backend->add_stream(
@@ -105,7 +105,7 @@
 
 LogEvent::LogEvent(LogLevel level, std::string_view name)
     : level_(level),
-      enabled_(g_started && static_cast<int>(level) >= g_least_level) {
+      enabled_(g_started && static_cast<int>(level) >= g_min_level) {
   if (!enabled_) return;
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
--- a/core/event_log.h
+++ b/core/event_log.h
@@ -11,23 +11,23 @@
 enum class LogLevel : uint8_t { kDebug, kInfo, kWarning, kError };
 
 // Starts the log: one key=value line per event on standard output, written by
-// a thread of its own from a bounded queue. A reader that does not read costs
-// lines, never time: what does not fit is dropped. Requires: called once,
-// before any other thread starts.
-void StartEventLog(LogLevel least, const std::string& host);
+// a separate thread from a bounded queue. Lines that do not fit are dropped, so
+// that a stalled reader of the log never blocks other threads. Requires: called
+// once, before any other thread starts.
+void StartEventLog(LogLevel min_level, const std::string& host);
 
-// Writes what is queued and stops the log thread. Not thread-safe.
+// Writes the queued lines and stops the log thread. Not thread-safe.
 void StopEventLog();
 
-// Lines that were dropped because the queue was full. Thread-safe.
+// Number of lines that were dropped because the queue was full. Thread-safe.
 uint64_t DroppedLogLines();
 
-// Appends a value as it stands in a line: quoted and escaped if it has spaces,
-// quotes, backslashes, "=" or line breaks, or is empty. Requires: nothing.
+// Appends a value in log format: quoted and escaped if it has spaces, quotes,
+// backslashes, "=" or line breaks, or is empty. Requires: nothing.
 // Thread-safe.
 void AppendLogValue(std::string_view value, std::string& line);
 
-// One line of the log; written when the object goes out of scope.
+// One line of the log; it is queued when the object goes out of scope.
 //   LogEvent(LogLevel::kInfo, "load_ordered").With("model", name);
 class LogEvent {
  public:
--- a/core/hash.h
+++ b/core/hash.h
@@ -6,8 +6,8 @@
 
 namespace applehall {
 
-// 64-bit FNV-1a with a final mix. Every host must compute the same value, so
-// neither std::hash nor a seeded hash will do.
+// 64-bit FNV-1a with a final mix. Every host must compute the same value, which
+// rules out std::hash and hashes with a random seed.
 constexpr uint64_t StableHash(std::string_view text, uint64_t seed = 0) {
   uint64_t hash = 0xcbf29ce484222325ULL ^ (seed * 0x9e3779b97f4a7c15ULL);
   for (const char c : text) {
--- a/core/json.h
+++ b/core/json.h
@@ -11,15 +11,15 @@
 
 using Json = nlohmann::json;
 
-// Parses JSON with comments. The error names line and column.
+// Parses JSON with comments. Errors contain line and column.
 // Requires: nothing. Thread-safe.
 absl::StatusOr<Json> ParseJson(std::string_view text);
 
 // Reads a whole file. Requires: nothing. Thread-safe.
 absl::StatusOr<std::string> ReadFile(const std::string& path);
 
-// A field of an object, or `fallback` when it is absent or of another type.
-// Peers of other versions may send either. Thread-safe.
+// Returns a field of an object, or `fallback` if it is absent or of another
+// type: peers of other versions may omit or change fields. Thread-safe.
 template <typename T>
 T FieldOr(const Json& object, const char* key, T fallback) {
   if (!object.is_object()) return fallback;
--- a/core/log_record.h
+++ b/core/log_record.h
@@ -9,21 +9,21 @@
 
 namespace applehall {
 
-// Position of a record in a stream of the log service. The first is 1, so 0
-// stands for "none".
+// Position of a record in a stream of the log service. The first is 1; 0 means
+// "none".
 using LogOffset = uint64_t;
 
 struct LogRecord {
   LogOffset offset = 0;
-  TimePoint time;  // By the log service's clock.
+  TimePoint time;  // Set by the log service's clock.
   std::string payload;
 };
 
-// One answer of the log service to a read.
+// Response of the log service to a read.
 struct LogBatch {
   std::string stream;
-  LogOffset first_offset = 1;  // Oldest record still kept.
-  LogOffset next_offset = 1;   // Where the next append will go.
+  LogOffset first_offset = 1;  // Oldest retained record.
+  LogOffset next_offset = 1;   // Offset of the next append.
   std::vector<LogRecord> records;
 };
 
--- a/core/metrics.cc
+++ b/core/metrics.cc
@@ -21,17 +21,17 @@
   p99_(seconds);
   const auto bucket = std::lower_bound(kDurationBuckets.begin(),
                                        kDurationBuckets.end(), seconds);
-  // What is longer than all bounds stands in the count alone.
+  // A value above all bounds appears only in the total count (le="+Inf").
   if (bucket != kDurationBuckets.end()) {
     ++buckets_[bucket - kDurationBuckets.begin()];
   }
 }
 
-std::array<uint64_t, kDurationBuckets.size()> DurationSummary::Cumulated()
-    const {
-  auto cumulated = buckets_;
-  std::partial_sum(cumulated.begin(), cumulated.end(), cumulated.begin());
-  return cumulated;
+std::array<uint64_t, kDurationBuckets.size()>
+DurationSummary::CumulativeCounts() const {
+  auto counts = buckets_;
+  std::partial_sum(counts.begin(), counts.end(), counts.begin());
+  return counts;
 }
 
 double DurationSummary::p50() const { return acc::p_square_quantile(p50_); }
@@ -51,10 +51,10 @@
   for (const auto& [name, summary] : summaries_) {
     const std::string base = "applehall_" + name + "_seconds";
     text << "# TYPE " << base << " histogram\n";
-    const auto cumulated = summary.Cumulated();
-    for (size_t i = 0; i < cumulated.size(); ++i) {
+    const auto counts = summary.CumulativeCounts();
+    for (size_t i = 0; i < counts.size(); ++i) {
       text << base << "_bucket{le=\"" << kDurationBuckets[i] << "\"} "
-           << cumulated[i] << '\n';
+           << counts[i] << '\n';
     }
     text << base << "_bucket{le=\"+Inf\"} " << summary.count() << '\n'
          << base << "_sum " << summary.sum() << '\n'
--- a/core/metrics.h
+++ b/core/metrics.h
@@ -15,14 +15,14 @@
 
 namespace applehall {
 
-// Upper bounds of the histograms' buckets, in seconds: from what a request
-// takes through a host, over the latencies that callers hope for (0.1 to 4 s),
-// to the longest load and the longest deadline.
+// Upper bounds of the histogram buckets, in seconds. They range from the time
+// that a host itself adds to a request, through the target latencies of callers
+// (0.1 to 4 s), to the longest load and the longest deadline.
 inline constexpr std::array<double, 14> kDurationBuckets = {
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.6, 1, 1.5, 2.5, 4, 8, 15, 30};
 
-// A running summary of durations: a histogram, count, sum, max and three
-// quantiles. Histograms of several hosts can be added up, quantiles cannot.
+// A running summary of durations: histogram, count, sum, max and three
+// quantiles. Histograms of several hosts can be summed, quantiles cannot.
 class DurationSummary {
  public:
   DurationSummary();
@@ -36,8 +36,8 @@
   double max() const;
   double sum() const;
   uint64_t count() const;
-  // Durations up to the bound of each bucket, shorter ones included.
-  std::array<uint64_t, kDurationBuckets.size()> Cumulated() const;
+  // Number of durations up to the bound of each bucket, as Prometheus counts.
+  std::array<uint64_t, kDurationBuckets.size()> CumulativeCounts() const;
 
  private:
   using Quantile = boost::accumulators::accumulator_set<
@@ -58,7 +58,7 @@
 class Metrics {
  public:
   // Names follow Prometheus; labels are part of the name: `x{reason="y"}`.
-  // The caller keeps the set of names bounded. Not thread-safe.
+  // Requires: the set of names is bounded. Not thread-safe.
   void Count(const std::string& name, uint64_t by = 1) {
     counters_[name] += by;
   }
--- a/core/pattern.h
+++ b/core/pattern.h
@@ -6,8 +6,8 @@
 
 namespace applehall {
 
-// A name or the start of one: "horse-*" matches every name that starts with
-// "horse-", "*" matches everything, anything else only itself.
+// An exact name or a name prefix: "horse-*" matches every name that starts with
+// "horse-", "*" matches every name, any other text matches only itself.
 class Pattern {
  public:
   Pattern() = default;
@@ -18,7 +18,7 @@
   bool Matches(std::string_view name) const {
     return is_exact() ? name == text_ : name.starts_with(prefix());
   }
-  // True if every name that `other` matches is matched by this one.
+  // True if this pattern matches every name that `other` matches.
   bool Covers(const Pattern& other) const {
     if (is_exact()) return other.is_exact() && other.text_ == text_;
     const std::string_view others =
--- a/core/peer_message.h
+++ b/core/peer_message.h
@@ -19,17 +19,17 @@
   kControl,  // Records or a snapshot of the control stream.
   kStoreBorrow,
   kStoreGrant,
-  kFleetReport,   // To the placement owner: what waits, what runs where.
-  kFleetPlan,     // From the owner: what is ready where, answers to demands.
-  kStoreFollow,   // To the reader of the store: this host takes its news.
-  kStoreNews,     // From the reader: what it read, and how recent that is.
-  kQuotaUsage,    // Without an owner, to the reader: what teams asked for here.
-  kQuotaWord,     // From the reader: what share of it may be admitted.
+  kFleetReport,   // To the placement owner: queued demand, running requests.
+  kFleetPlan,     // From the owner: ready replicas, answers to demands.
+  kStoreFollow,   // To the reader of the store: subscribes to its updates.
+  kStoreNews,     // From the reader: records that it read, their freshness.
+  kQuotaUsage,    // To the reader, without an owner: demand of teams here.
+  kQuotaWord,     // From the reader: the share of that demand to admit.
   kPermitAsk,     // To the placement owner: requests for limited servers.
-  kPermitAnswer,  // From the owner: which of them may be sent.
+  kPermitAnswer,  // From the owner: the requests that may be sent.
 };
 
-// Another host, and where its links are opened.
+// Another host and the address that links to it connect to.
 struct PeerAddress {
   std::string host;
   std::string address;
@@ -37,15 +37,16 @@
   bool operator==(const PeerAddress&) const = default;
 };
 
-// One message between hosts. The body's fields depend on the type; fields a
-// receiver does not know are ignored.
+// One message between hosts. The fields of the body depend on the type;
+// receivers ignore unknown fields.
 struct PeerMessage {
   PeerMessageType type = PeerMessageType::kGossip;
   Json body;
 
-  // CBOR. Requires: nothing. Thread-safe.
+  // Encodes the message as CBOR. Requires: nothing. Thread-safe.
   std::vector<uint8_t> Encode() const;
-  // Nothing if malformed or of another protocol version. Thread-safe.
+  // Returns nothing if the message is malformed or of another protocol version.
+  // Thread-safe.
   static std::optional<PeerMessage> Decode(const std::vector<uint8_t>& bytes);
 };
 
--- a/core/policy_set.cc
+++ b/core/policy_set.cc
@@ -9,7 +9,7 @@
 namespace applehall {
 namespace {
 
-// In the order of Policy.
+// Names of the policies, in the order of Policy.
 constexpr std::array<std::string_view, static_cast<size_t>(Policy::kCount)>
     kNames = {"overload_replicas", "second_replica",   "last_pair",
               "seeding",           "store_width",      "reservations",
@@ -38,7 +38,7 @@
     }
     if (!is_known) {
       return absl::InvalidArgumentError(
-          absl::StrCat("there is no policy \"", name, "\""));
+          absl::StrCat("unknown policy \"", name, "\""));
     }
   }
   return set;
--- a/core/policy_set.h
+++ b/core/policy_set.h
@@ -8,49 +8,49 @@
 
 namespace applehall {
 
-// Policies that may be switched off one by one, to measure what each is worth
-// with the real program. None of them guards a promise: without it answers come
-// later or fewer, never wrongly. docs/further.md has what was measured so far.
+// Policies that can be disabled one by one, to measure the effect of each with
+// the real program; docs/further.md lists the effects. None of them guards
+// correctness: without it requests are answered later or refused more often,
+// never wrongly.
 enum class Policy : uint8_t {
   // Placement.
-  kOverloadReplicas,  // Further replicas of models that are asked for too much.
-  kSecondReplica,     // A spare one of any model that is asked for often.
-  kLastPair,          // The last two replicas of such a model stay.
-  kSeeding,           // Copies ahead of requests.
-  kStoreWidth,        // Loads at once by how wide the store shows to be.
-  kReservations,      // An engine is kept for the model that room was made for.
-  kAdapterAffinity,   // An adapter goes to the same engine each time.
-  kBlockedAdapters,   // A load avoids engines with adapters that are asked for.
-  kSilence,           // Engines that do not answer are not believed to serve.
-  kHandOver,          // An owner that cannot prove its lease gives it up.
+  kOverloadReplicas,  // Adds replicas of overloaded models.
+  kSecondReplica,     // Adds a spare replica of models in frequent demand.
+  kLastPair,          // Keeps the last two replicas of such a model.
+  kSeeding,           // Loads copies ahead of requests.
+  kStoreWidth,        // Limits concurrent loads by the learnt store width.
+  kReservations,      // Reserves freed memory for the model it was freed for.
+  kAdapterAffinity,   // Places an adapter on the same engine each time.
+  kBlockedAdapters,   // Loads avoid engines whose adapters are in demand.
+  kSilence,           // Treats engines that do not answer as not serving.
+  kHandOver,          // An owner that cannot confirm its lease releases it.
   // Routing.
-  kPrefixAffinity,  // Prompts with a shared start meet at one engine.
-  kTwoChoices,      // The less busy of two engines.
-  kNearFirst,       // Engines of the own data centre first.
-  kEngineShares,  // Each host lets through what an engine can run of its load.
-  kCircuitBreaker,  // Engines that keep failing get single trials only.
+  kPrefixAffinity,  // Routes prompts with a common prefix to one engine.
+  kTwoChoices,      // Picks the less loaded of two candidate engines.
+  kNearFirst,       // Prefers engines of the own data centre.
+  kEngineShares,    // Hosts send only the share of load that an engine can run.
+  kCircuitBreaker,  // Sends only single probes to engines that keep failing.
   // Waiting.
-  kEarlyRefusal,  // What cannot start in time is refused at once.
-  kShortQueues,   // What would be late behind full engines is refused.
-  kLateWorth,     // Requests that will be late weigh less in placement.
+  kEarlyRefusal,  // Refuses requests at once that cannot start in time.
+  kShortQueues,   // Refuses requests that would be late behind full engines.
+  kLateWorth,     // Late requests weigh less in placement.
   kStoreRelay,    // One host reads the store for its data centre.
-  kFreeMemory,    // Free memory is filled with models ahead of requests.
+  kFreeMemory,    // Fills free memory with models ahead of requests.
   // Teams' quotas.
-  kQuotaShares,  // Hosts admit one share of what is asked, not parts of a
-                 // quota.
-  kQuotaUsage,   // Parts of a quota follow what hosts are asked for.
+  kQuotaShares,  // Hosts admit one share of demand, not parts of a quota.
+  kQuotaUsage,   // Parts of a quota follow the demand at each host.
   kCount,
 };
 
-// Which policies are in force; all unless told otherwise.
+// The set of enabled policies; all are enabled by default.
 class PolicySet {
  public:
   // Requires: nothing. Thread-safe.
   bool Has(Policy policy) const {
     return !off_.test(static_cast<size_t>(policy));
   }
-  // All but those that `names` lists, separated by commas; an error names the
-  // one that is unknown. Requires: nothing. Thread-safe.
+  // Returns all policies but those listed in `names`, separated by commas. The
+  // error for an unknown name contains it. Requires: nothing. Thread-safe.
   static absl::StatusOr<PolicySet> Without(std::string_view names);
 
  private:
--- a/core/random.h
+++ b/core/random.h
@@ -5,8 +5,8 @@
 
 namespace applehall {
 
-// SplitMix64: small, seedable and the same on every platform, which the
-// distributions of <random> are not.
+// SplitMix64 generator. Its sequence is the same on every platform, unlike the
+// distributions of <random>.
 class Random {
  public:
   explicit Random(uint64_t seed) : state_(seed) {}
--- a/core/request_fingerprint.cc
+++ b/core/request_fingerprint.cc
@@ -7,8 +7,8 @@
 namespace applehall {
 
 uint64_t RequestFingerprint(const RequestContent& content) {
-  // Each part is the seed of the next, so that text which moves from one part
-  // to its neighbour gives another value.
+  // Each hash seeds the next, so that the boundaries between the parts count:
+  // "ab" + "c" and "a" + "bc" give different values.
   uint64_t hash = StableHash(content.method);
   hash = StableHash(content.host, hash);
   hash = StableHash(content.target, hash);
--- a/core/settings_reader.cc
+++ b/core/settings_reader.cc
@@ -9,7 +9,7 @@
 
 const Json kNull;
 
-bool IsIpNumber(const std::string& text) {
+bool IsIpAddress(const std::string& text) {
   in6_addr buffer;
   return inet_pton(AF_INET, text.c_str(), &buffer) == 1 ||
          inet_pton(AF_INET6, text.c_str(), &buffer) == 1;
@@ -20,7 +20,7 @@
 absl::StatusOr<Address> ParseAddress(const std::string& text) {
   const auto colon = text.rfind(':');
   int port = 0;
-  if (colon == std::string::npos || !IsIpNumber(text.substr(0, colon)) ||
+  if (colon == std::string::npos || !IsIpAddress(text.substr(0, colon)) ||
       !absl::SimpleAtoi(text.substr(colon + 1), &port) || port < 0 ||
       port > 65535) {
     return absl::InvalidArgumentError(
@@ -47,17 +47,17 @@
   if (!object_.is_object()) return nullptr;
   const auto it = object_.find(key);
   if (it != object_.end()) return &*it;
-  if (required) Fail(key, absl::StrCat(expected, ", found nothing"));
+  if (required) Fail(key, absl::StrCat(expected, ", but it is missing"));
   return nullptr;
 }
 
 std::string SettingsReader::Text(const std::string& key) {
-  const Json* value = Find(key, true, "a text");
+  const Json* value = Find(key, true, "a string");
   if (value == nullptr) return "";
   if (value->is_string() && !value->get_ref<const std::string&>().empty()) {
     return value->get<std::string>();
   }
-  Fail(key, "a text that is not empty");
+  Fail(key, "a non-empty string");
   return "";
 }
 
@@ -66,7 +66,7 @@
   const Json* value = Find(key, false, "");
   if (value == nullptr) return fallback;
   if (value->is_string()) return value->get<std::string>();
-  Fail(key, "a text");
+  Fail(key, "a string");
   return fallback;
 }
 
@@ -88,35 +88,35 @@
 }
 
 int64_t SettingsReader::IntegerOr(const std::string& key, int64_t fallback,
-                                  int64_t least, int64_t most) {
+                                  int64_t min, int64_t max) {
   const Json* value = Find(key, false, "");
   if (value == nullptr) return fallback;
   if (value->is_number_integer()) {
     const int64_t number = value->get<int64_t>();
-    if (number >= least && number <= most) return number;
+    if (number >= min && number <= max) return number;
   }
-  Fail(key, absl::StrCat("a whole number from ", least, " to ", most));
+  Fail(key, absl::StrCat("a whole number from ", min, " to ", max));
   return fallback;
 }
 
 double SettingsReader::NumberOr(const std::string& key, double fallback,
-                                double least, double most) {
+                                double min, double max) {
   const Json* value = Find(key, false, "");
   if (value == nullptr) return fallback;
   if (value->is_number()) {
     const double number = value->get<double>();
-    if (number >= least && number <= most) return number;
+    if (number >= min && number <= max) return number;
   }
-  Fail(key, absl::StrCat("a number from ", least, " to ", most));
+  Fail(key, absl::StrCat("a number from ", min, " to ", max));
   return fallback;
 }
 
 Duration SettingsReader::MillisOr(const std::string& key, Duration fallback,
-                                  Duration least, Duration most) {
-  // The fallback may be finer than what the file can say.
+                                  Duration min, Duration max) {
+  // The fallback is returned unrounded: it may be finer than a millisecond.
   if (Find(key, false, "") == nullptr) return fallback;
   return std::chrono::milliseconds(
-      IntegerOr(key, ToMillis(fallback), ToMillis(least), ToMillis(most)));
+      IntegerOr(key, ToMillis(fallback), ToMillis(min), ToMillis(max)));
 }
 
 bool SettingsReader::FlagOr(const std::string& key, bool fallback) {
@@ -135,7 +135,7 @@
 absl::Status SettingsReader::Finish() {
   if (!status_.ok() || !object_.is_object()) return status_;
   for (const auto& [key, value] : object_.items()) {
-    if (!known_.contains(key)) Fail(key, "no such key (it is unknown)");
+    if (!known_.contains(key)) Fail(key, "a known key (this one is unknown)");
   }
   return status_;
 }
--- a/core/settings_reader.h
+++ b/core/settings_reader.h
@@ -11,7 +11,7 @@
 
 namespace applehall {
 
-// An address by IP number and port. Names are not resolved.
+// An IP address and port. Host names are not resolved.
 struct Address {
   std::string ip;
   uint16_t port = 0;
@@ -23,8 +23,8 @@
 // Parses "10.0.0.1:80". Requires: nothing. Thread-safe.
 absl::StatusOr<Address> ParseAddress(const std::string& text);
 
-// Reads one JSON object key by key and remembers the first fault, so that a
-// settings file is checked whole and a fault names file, key and expectation.
+// Reads one JSON object key by key and keeps the first error, so that callers
+// check once at the end. Errors name the file, the key and the expected value.
 //   SettingsReader reader("node.json", json);
 //   settings.host = reader.Text("host");
 //   return reader.Finish();
@@ -32,25 +32,26 @@
  public:
   SettingsReader(std::string file, const Json& object, std::string prefix = "");
 
-  // Each reads a key and records a fault if it is absent (and no fallback is
+  // Each reads a key and records an error if it is missing (and no fallback is
   // given), of the wrong type or out of range. Not thread-safe.
   std::string Text(const std::string& key);
   std::string TextOr(const std::string& key, const std::string& fallback);
   Address AddressAt(const std::string& key);
-  int64_t IntegerOr(const std::string& key, int64_t fallback, int64_t least,
-                    int64_t most);
-  double NumberOr(const std::string& key, double fallback, double least,
-                  double most);
-  Duration MillisOr(const std::string& key, Duration fallback, Duration least,
-                    Duration most);
+  int64_t IntegerOr(const std::string& key, int64_t fallback, int64_t min,
+                    int64_t max);
+  double NumberOr(const std::string& key, double fallback, double min,
+                  double max);
+  Duration MillisOr(const std::string& key, Duration fallback, Duration min,
+                    Duration max);
   bool FlagOr(const std::string& key, bool fallback);
-  // The object or array under `key`; null if absent. Marks the key as known.
+  // Returns the raw JSON value of `key`; null if missing. Marks the key as
+  // known.
   const Json& Raw(const std::string& key);
 
-  // Records a fault found by the caller. Not thread-safe.
+  // Records an error found by the caller. Not thread-safe.
   void Fail(const std::string& key, const std::string& expected);
 
-  // The first fault, an unknown key included. Not thread-safe.
+  // Returns the first error; unknown keys are errors too. Not thread-safe.
   absl::Status Finish();
 
  private:
--- a/core/uuid.h
+++ b/core/uuid.h
@@ -10,11 +10,12 @@
 
 namespace applehall {
 
-// A UUID of version 7 (RFC 9562): its first 48 bits are the time of issue.
-// Requires: nothing. `random` belongs to the calling thread.
+// Returns a UUID of version 7 (RFC 9562), whose first 48 bits are the time of
+// issue. Requires: nothing. `random` belongs to the calling thread.
 std::string MakeUuid7(TimePoint now, Random& random);
 
-// Time of issue of a version 7 UUID; nothing if it is not one. Thread-safe.
+// Returns the time of issue of a version 7 UUID; nothing for any other text.
+// Thread-safe.
 std::optional<TimePoint> Uuid7Time(std::string_view text);
 
 }  // namespace applehall
--- a/core/verdict.h
+++ b/core/verdict.h
@@ -11,8 +11,8 @@
 
 // Whether a request may have had an effect on a backend server.
 //
-// kNotRun is a proof, not a guess: either nothing was sent, or the backend
-// server itself said that it did not start the request.
+// kNotRun is certain: either nothing was sent, or the backend server reported
+// that it did not start the request.
 enum class Verdict : uint8_t { kNotRun, kMayHaveRun, kRan };
 
 constexpr const char* VerdictName(Verdict verdict) {
@@ -27,8 +27,8 @@
   return "may_have_run";
 }
 
-// Why a request was refused. Each value has one HTTP status and one meaning,
-// listed for operators in docs/operators/refusals.md.
+// Reason for refusing a request. Each value has one HTTP status and one
+// meaning, listed for operators in docs/operators/refusals.md.
 enum class RefusalReason : uint8_t {
   kNoRuleSet,
   kRefusedByRule,
@@ -56,7 +56,7 @@
 
 const char* RefusalReasonName(RefusalReason reason);
 
-// The honest answer to a request that was not answered by a backend server.
+// The response to a request that no backend server answered.
 struct Refusal {
   Verdict verdict = Verdict::kNotRun;
   RefusalReason reason = RefusalReason::kBackendFailed;
@@ -65,14 +65,15 @@
   Duration retry_after{0};
 };
 
-// Refuses what has not run and never will. Requires: nothing. Thread-safe.
+// Returns a refusal of a request that has not run and will not run. Requires:
+// nothing. Thread-safe.
 inline Refusal NotRun(RefusalReason reason, std::string detail,
                       Duration retry_after = Duration{0}) {
   return {Verdict::kNotRun, reason, std::move(detail), retry_after};
 }
 
-// HTTP status of a refusal: 409 for a repeat, 504 when it may have run, 429
-// and 503 (or 400, 403) when it has not.
+// HTTP status of a refusal: 409 for a duplicate, 504 if the request may have
+// run, otherwise 400, 401, 403, 429 or 503 by its reason.
 int HttpStatus(const Refusal& refusal);
 
 }  // namespace applehall
--- a/rules/replica_bounds.h
+++ b/rules/replica_bounds.h
@@ -10,24 +10,25 @@
 
 namespace applehall {
 
-// How many replicas of a model a data centre may and must hold, and how long
-// an idle one stays at the least.
+// Minimum and maximum number of replicas of a model in a data centre, and the
+// minimum time that an idle replica stays loaded.
 struct ReplicaBounds {
   int least = 0;
   int most = 0;
   Duration keep_warm{0};
 };
 
-// The bounds of every model under one rule set: the widest of the rules that
-// may route to it. Built once per rule set.
+// The bounds of every model under one rule set: for each bound, the largest
+// value of all rules that may route to the model. Built once per rule set.
 class ReplicaBoundsTable {
  public:
   ReplicaBoundsTable() = default;
   explicit ReplicaBoundsTable(const std::vector<Rule>& rules);
 
-  // Requires: nothing. Thread-safe.
+  // Returns the bounds of `model`; zeros if no rule routes to it. Requires:
+  // nothing. Thread-safe.
   ReplicaBounds For(const std::string& model) const;
-  // Models that must stay loaded in `data_centre`. Thread-safe.
+  // Returns the models with a minimum above zero, sorted by name. Thread-safe.
   std::vector<std::string> KeptWarm() const;
 
  private:
--- a/rules/rule.cc
+++ b/rules/rule.cc
@@ -42,7 +42,7 @@
   return true;
 }
 
-// An absent condition covers any; a present one covers only its equal.
+// An absent condition covers any other; a present one covers only an equal one.
 template <typename T>
 bool OptionalCovers(const std::optional<T>& wide,
                     const std::optional<T>& narrow) {
--- a/rules/rule.h
+++ b/rules/rule.h
@@ -11,7 +11,7 @@
 
 namespace applehall {
 
-// What the matcher may know about a request. Header names are in lower case.
+// Properties of a request that conditions test. Header names are lower case.
 struct RequestFacts {
   std::string caller;
   std::string method;
@@ -21,7 +21,7 @@
   std::map<std::string, std::string> headers;
 };
 
-// What the matcher may know about the system when it decides.
+// State of the system that conditions test.
 struct SystemFacts {
   TimePoint now;
   std::string data_centre;
@@ -30,7 +30,7 @@
   int replicas = 0;
 };
 
-// A daily window, in the operator's own time zone. It may pass midnight.
+// A daily time window at a fixed UTC offset. It may span midnight.
 struct TimeOfDay {
   std::chrono::minutes from{0};
   std::chrono::minutes to{0};
@@ -56,17 +56,17 @@
 
   // Requires: nothing. Thread-safe.
   bool Matches(const RequestFacts& request, const SystemFacts& system) const;
-  // True if every request that matches `other` matches this one too. May be
-  // false for a condition that covers in a way too subtle to see.
+  // True if every request that matches `other` provably matches this condition.
+  // The check is conservative: it may return false for a condition that covers.
   bool Covers(const RuleCondition& other) const;
-  // Why `request` does not match; empty when it does.
+  // Returns why `request` does not match; empty if it does.
   std::string Mismatch(const RequestFacts& request,
                        const SystemFacts& system) const;
 };
 
 enum class WhileLogDown : uint8_t { kRefuse, kWait };
 
-// A share of requests that goes to one of several services.
+// One of several services and its relative share of the requests.
 struct ServiceShare {
   std::string service;
   double weight = 1.0;
@@ -83,30 +83,31 @@
   bool repeatable = true;
   int retries = 2;
   int queue_limit = 1000;
-  Duration keep_warm{0};  // Zero leaves the time to the learnt policy.
+  Duration keep_warm{0};  // Zero: the learnt policy decides.
   int least_replicas = 0;
   int most_replicas = 1;
-  std::vector<std::string> data_centres;  // Empty allows all.
+  std::vector<std::string> data_centres;  // Empty: all are allowed.
   WhileLogDown while_log_down = WhileLogDown::kRefuse;
-  // Whose backend servers take the request; empty leaves that to the request.
+  // Services whose backend servers may run the request; empty: the service that
+  // the request names.
   std::vector<ServiceShare> services;
-  // Time to the first piece of an answer that its caller hopes for; zero if
-  // the rule says nothing.
+  // Target time to the first piece of the answer; zero if the rule sets none.
   Duration target_latency{0};
-  // How long a caller waits for the first piece before it leaves, although its
-  // deadline is later; zero: until its deadline.
+  // Time after which a caller without a first piece of the answer disconnects,
+  // even before the deadline; zero: the caller waits until the deadline.
   Duration patience{0};
-  // Rank at an engine, 0 first; negative leaves it to the engine.
+  // Scheduling priority at an engine, 0 first; negative: the engine decides.
   int priority = -1;
-  // A broken stream may go on at another engine after its last event.
+  // A broken stream may resume at another engine after its last event.
   bool resumable = false;
-  // Whether a request that may not be repeated must claim its key on the log.
-  // Needless where each attempt reaches one host only.
+  // Whether a request that must not be repeated has to claim its key on the
+  // log. Unnecessary where each attempt reaches only one host.
   bool needs_claim = true;
-  // Open to callers that belong to no team.
+  // Also admits callers without a team.
   bool is_public = false;
 
-  // A request with minutes to spare fills only what is idle.
+  // True for a deadline of 10 minutes or more. Such requests use only idle
+  // capacity.
   bool is_background() const;
   bool AllowsDataCentre(const std::string& data_centre) const;
 };
@@ -117,12 +118,12 @@
   RuleOutcome then;
 };
 
-// A rule set as published. Version is the log offset of its record.
+// A rule set as published.
 struct RuleSet {
   std::string name;
   std::string author;
   std::string reason;
-  // From 0 (spare accelerators) to 1 (spare callers a cold start).
+  // From 0 (save accelerators) to 1 (avoid cold starts).
   double cold_start_weight = 0.5;
   std::vector<Rule> rules;
 };
--- a/rules/rule_book.cc
+++ b/rules/rule_book.cc
@@ -9,13 +9,13 @@
 namespace applehall {
 namespace {
 
-Json HeaderOf(const Json& document) {
+Json ExtractHeader(const Json& document) {
   Json header = document;
   header.erase("rules");
   return header;
 }
 
-std::shared_ptr<const CompiledRules> Finish(CompiledRules rules) {
+std::shared_ptr<const CompiledRules> AddMatcher(CompiledRules rules) {
   rules.matcher = RuleMatcher(rules.set.rules);
   return std::make_shared<const CompiledRules>(std::move(rules));
 }
@@ -29,12 +29,13 @@
   return absl::OkStatus();
 }
 
-// Names decide what a decision is traced to, and the last rule decides what
-// no other does: a set without either may not come into force, whoever
-// published it.
-absl::Status CheckEssentials(const RuleSet& set) {
+// Checks what matching relies on: unique names, by which decisions are traced,
+// and a last rule that matches every request. A set without them is rejected
+// even if its publisher did not check it.
+absl::Status CheckInvariants(const RuleSet& set) {
   if (set.rules.empty() || !set.rules.back().when.Covers(RuleCondition{})) {
-    return absl::InvalidArgumentError("no last rule that matches everything");
+    return absl::InvalidArgumentError(
+        "the last rule does not match every request");
   }
   absl::flat_hash_map<std::string, int> names;
   for (const Rule& rule : set.rules) {
@@ -50,12 +51,12 @@
                                               const Json& document) {
   ParsedRuleSet parsed = ParseRuleSet(document);
   absl::Status status = FirstError(parsed);
-  if (status.ok()) status = CheckEssentials(parsed.set);
+  if (status.ok()) status = CheckInvariants(parsed.set);
   if (!status.ok()) return status;
   CompiledRules rules;
   rules.version = version;
   rules.set = std::move(parsed.set);
-  rules.header_text = HeaderOf(document).dump();
+  rules.header_text = ExtractHeader(document).dump();
   for (const Json& rule : document["rules"]) {
     rules.rule_texts.push_back(rule.dump());
   }
@@ -67,12 +68,13 @@
                                            const RuleSetDelta& delta) {
   const size_t old_count = before.rule_texts.size();
   if (delta.keep_first + delta.keep_last > old_count) {
-    return absl::InvalidArgumentError("the change keeps more than there is");
+    return absl::InvalidArgumentError(
+        "the delta keeps more rules than its base has");
   }
-  // The changed rules are parsed as a small document of their own.
+  // Parses the changed rules as a separate small document.
   Json changed = delta.header;
   if (!changed.is_object()) {
-    return absl::InvalidArgumentError("the change has no header");
+    return absl::InvalidArgumentError("the delta has no header object");
   }
   changed["rules"] = delta.rules;
   ParsedRuleSet parsed = ParseRuleSet(changed);
@@ -101,7 +103,7 @@
   for (const Json& rule : delta.rules) rules.rule_texts.push_back(rule.dump());
   rules.rule_texts.insert(rules.rule_texts.end(), old_texts.begin() + last_from,
                           old_texts.end());
-  status = CheckEssentials(rules.set);
+  status = CheckInvariants(rules.set);
   if (!status.ok()) return status;
   return rules;
 }
@@ -126,7 +128,8 @@
   RuleSetDelta delta;
   if (!json.is_object() || !json.contains("header") ||
       !json.contains("rules") || !json["rules"].is_array()) {
-    return absl::InvalidArgumentError("a change needs header and rules");
+    return absl::InvalidArgumentError(
+        "a delta needs a header and a list of rules");
   }
   delta.header = json["header"];
   delta.keep_first = FieldOr<uint64_t>(json, "keep_first", 0);
@@ -140,7 +143,7 @@
   const auto& new_rules = after["rules"];
   const size_t shorter = std::min(old_rules.size(), new_rules.size());
   RuleSetDelta delta;
-  delta.header = HeaderOf(after);
+  delta.header = ExtractHeader(after);
   while (delta.keep_first < shorter &&
          old_rules[delta.keep_first] == new_rules[delta.keep_first]) {
     ++delta.keep_first;
@@ -161,8 +164,8 @@
   if (FieldOr<uint64_t>(body, "base", 0) != version()) {
     return Result::kStaleBase;
   }
-  absl::StatusOr<CompiledRules> rules =
-      absl::InvalidArgumentError("neither document nor change");
+  absl::StatusOr<CompiledRules> rules = absl::InvalidArgumentError(
+      "neither a document nor a delta on the current rules");
   if (body.contains("document")) {
     rules = CompileDocument(offset, body["document"]);
   } else if (body.contains("delta") && current_) {
@@ -170,19 +173,19 @@
     if (delta.ok()) rules = CompileDelta(offset, *current_, *delta);
   }
   if (!rules.ok()) return Result::kInvalid;
-  current_ = Finish(*std::move(rules));
+  current_ = AddMatcher(*std::move(rules));
   return Result::kAccepted;
 }
 
-absl::Status RuleBook::Install(LogOffset version_carried,
+absl::Status RuleBook::Install(LogOffset snapshot_version,
                                const Json& document) {
-  // A carried state may be older than what is in force here: a carrier that
-  // was paused, or a peer that lags. Versions never go back.
-  if (version_carried <= version()) return absl::OkStatus();
+  // A snapshot may be older than the rules in force here if its writer was
+  // paused or the peer lags. Versions never decrease.
+  if (snapshot_version <= version()) return absl::OkStatus();
   absl::StatusOr<CompiledRules> rules =
-      CompileDocument(version_carried, document);
+      CompileDocument(snapshot_version, document);
   if (!rules.ok()) return rules.status();
-  current_ = Finish(*std::move(rules));
+  current_ = AddMatcher(*std::move(rules));
   return absl::OkStatus();
 }
 
--- a/rules/rule_book.h
+++ b/rules/rule_book.h
@@ -13,21 +13,21 @@
 
 namespace applehall {
 
-// A rule set in force, ready to be matched. Never changes once built.
+// A rule set with its matcher. Immutable after construction.
 struct CompiledRules {
-  LogOffset version = 0;
+  LogOffset version = 0;  // Log offset of its record.
   RuleSet set;
   RuleMatcher matcher;
-  // The rules as published, one JSON text each, so that a change is parsed
-  // only where it differs.
+  // The published JSON text of each rule, so that a delta needs to parse only
+  // the rules that it changes.
   std::vector<std::string> rule_texts;
   std::string header_text;
 
   Json Document() const;
 };
 
-// The change from one document to another: the rules between a common start
-// and a common end are replaced. At 3,000 rules a change of one is a few
+// The difference between two documents: replaces the rules between a common
+// head and a common tail. With 3,000 rules, a change of one rule takes a few
 // hundred bytes instead of the whole document.
 struct RuleSetDelta {
   Json header;
@@ -40,25 +40,25 @@
   static RuleSetDelta Between(const Json& before, const Json& after);
 };
 
-// The rule set in force, as the fold of what was published.
+// The rule set in force, as the fold of all publications.
 //
-// Two operators that publish on the same base race; the log's order decides,
-// and the later one is void. The version only ever grows.
+// If two operators publish on the same base, the first in the log's order is
+// accepted and the other is rejected. The version only increases.
 class RuleBook {
  public:
   enum class Result : uint8_t { kAccepted, kStaleBase, kInvalid };
 
-  // Judges one publication at `offset`. `body` holds base and either
-  // "document" or "delta". Requires: offsets ascend from call to call. Not
-  // thread-safe.
+  // Applies the publication at `offset` if its base is the current version and
+  // its rules are valid. `body` has "base" and either "document" or "delta".
+  // Requires: offsets ascend from call to call. Not thread-safe.
   Result Publish(LogOffset offset, const Json& body);
 
-  // Takes over a state carried forward by the log or a peer; ignored unless
-  // it is newer. Not thread-safe.
+  // Installs a snapshot from the log or a peer; ignores it unless it is newer.
+  // Returns an error if its rules are invalid. Not thread-safe.
   absl::Status Install(LogOffset version, const Json& document);
 
-  // Null until a first set is in force. The pointee is immutable and may be
-  // read from any thread. Not thread-safe itself.
+  // Null before the first rule set. The pointee is immutable and may be read
+  // from any thread. Not thread-safe itself.
   std::shared_ptr<const CompiledRules> current() const { return current_; }
   LogOffset version() const { return current_ ? current_->version : 0; }
 
--- a/rules/rule_checker.cc
+++ b/rules/rule_checker.cc
@@ -38,7 +38,7 @@
     std::set<std::string> names;
     for (const Rule& rule : set_.rules) {
       if (rule.name.find('/') != std::string::npos) {
-        Error(rule.name, "a name may not hold '/'");
+        Error(rule.name, "a name must not contain '/'");
       }
       if (!names.insert(rule.name).second) {
         Error(rule.name, "the name is used by an earlier rule");
@@ -61,7 +61,7 @@
         Error(
             set_.rules[later].name,
             absl::StrCat("can never decide: rule \"", set_.rules[earlier].name,
-                         "\" before it matches all it would"));
+                         "\" before it covers its condition"));
         break;
       }
     }
@@ -92,7 +92,7 @@
     }
   }
 
-  // Replicas that must always stay have to fit together.
+  // The minimum replicas of all rules must fit into memory together.
   void CheckWarmMemory() {
     if (facts_.all_engine_bytes == 0) return;
     uint64_t needed = 0;
--- a/rules/rule_explainer.cc
+++ b/rules/rule_explainer.cc
@@ -16,13 +16,13 @@
                        });
 }
 
-std::string ClockTime(std::chrono::minutes time) {
+std::string FormatTimeOfDay(std::chrono::minutes time) {
   const int64_t total = time.count();
   const auto two = [](int64_t n) { return absl::StrCat(n < 10 ? "0" : "", n); };
   return absl::StrCat(two(total / 60), ":", two(total % 60));
 }
 
-std::string Span(Duration duration) {
+std::string FormatDuration(Duration duration) {
   const int64_t millis = ToMillis(duration);
   if (millis % 60000 == 0) return absl::StrCat(millis / 60000, " min");
   if (millis % 1000 == 0) return absl::StrCat(millis / 1000, " s");
@@ -48,8 +48,8 @@
   }
   if (when.time_of_day) {
     parts.push_back(absl::StrCat(
-        "the time is from ", ClockTime(when.time_of_day->from), " to ",
-        ClockTime(when.time_of_day->to), " (",
+        "the time is from ", FormatTimeOfDay(when.time_of_day->from), " to ",
+        FormatTimeOfDay(when.time_of_day->to), " (",
         when.time_of_day->utc_offset.count(), " minutes from UTC)"));
   }
   if (when.model_is_cold) {
@@ -71,11 +71,11 @@
   if (then.refuse) return absl::StrCat("refuse: \"", *then.refuse, "\"");
   std::string text =
       then.models.empty()
-          ? "send it to what it asks for"
+          ? "route it to the requested target"
           : absl::StrCat("answer with ", absl::StrJoin(then.models, ", else "));
   if (!then.adapter.empty()) absl::StrAppend(&text, " and ", then.adapter);
   if (!then.version.empty()) absl::StrAppend(&text, ", version ", then.version);
-  absl::StrAppend(&text, " within ", Span(then.deadline), ", worth ",
+  absl::StrAppend(&text, " within ", FormatDuration(then.deadline), ", worth ",
                   then.worth);
   if (then.repeatable) {
     absl::StrAppend(&text, ", at most ", then.retries, " retries");
@@ -94,7 +94,7 @@
                     then.most_replicas, " replicas");
   }
   if (then.keep_warm > Duration::zero()) {
-    absl::StrAppend(&text, ", warm for ", Span(then.keep_warm));
+    absl::StrAppend(&text, ", warm for ", FormatDuration(then.keep_warm));
   }
   if (!then.services.empty()) {
     absl::StrAppend(
@@ -106,14 +106,16 @@
                       }));
   }
   if (then.target_latency > Duration::zero()) {
-    absl::StrAppend(&text, ", hoped for within ", Span(then.target_latency));
+    absl::StrAppend(&text, ", target latency ",
+                    FormatDuration(then.target_latency));
   }
   if (then.patience > Duration::zero()) {
-    absl::StrAppend(&text, ", callers wait ", Span(then.patience),
-                    " for its start");
+    absl::StrAppend(&text, ", callers wait at most ",
+                    FormatDuration(then.patience), " for the first piece");
   }
   if (then.priority >= 0) absl::StrAppend(&text, ", priority ", then.priority);
-  if (then.resumable) absl::StrAppend(&text, ", resumed where it broke");
+  if (then.resumable)
+    absl::StrAppend(&text, ", resumable after a broken stream");
   if (then.is_public) absl::StrAppend(&text, ", open to all callers");
   if (!then.data_centres.empty()) {
     absl::StrAppend(&text, ", only in ",
--- a/rules/rule_explainer.h
+++ b/rules/rule_explainer.h
@@ -7,14 +7,15 @@
 
 namespace applehall {
 
-// One rule as an English sentence an auditor can read.
-// Requires: nothing. Thread-safe.
+// Describes one rule in an English sentence for auditors. Requires: nothing.
+// Thread-safe.
 std::string ExplainRule(const Rule& rule);
 
-// The whole set, numbered in order. Requires: nothing. Thread-safe.
+// Describes all rules of a set, numbered in order. Requires: nothing.
+// Thread-safe.
 std::string ExplainRuleSet(const RuleSet& set);
 
-// What differs between two sets, rule by rule. Thread-safe.
+// Describes the differences between two sets, rule by rule. Thread-safe.
 std::string DiffRuleSets(const RuleSet& before, const RuleSet& after);
 
 }  // namespace applehall
--- a/rules/rule_matcher.h
+++ b/rules/rule_matcher.h
@@ -12,15 +12,15 @@
 
 // Finds the first rule that matches a request.
 //
-// Rules that name a model, a service or a caller exactly are kept in an index
-// by that name, so that a request is held only against rules that can match.
+// Rules that name a model, a service or a caller exactly are indexed by that
+// name, so that a request is tested only against rules that can match.
 class RuleMatcher {
  public:
   RuleMatcher() = default;
   explicit RuleMatcher(const std::vector<Rule>& rules);
 
-  // Index of the deciding rule, or -1. Requires: `rules` are those given to
-  // the constructor. Thread-safe.
+  // Returns the index of the first rule that matches, or -1. Requires: `rules`
+  // are those given to the constructor. Thread-safe.
   int FirstMatch(const std::vector<Rule>& rules, const RequestFacts& request,
                  const SystemFacts& system) const;
 
--- a/rules/rule_set_parser.cc
+++ b/rules/rule_set_parser.cc
@@ -12,12 +12,12 @@
 namespace applehall {
 namespace {
 
-constexpr int64_t kMostMillis = 24LL * 3600 * 1000;
-constexpr int64_t kMostCount = 1'000'000;
-constexpr double kMostWorth = 1'000'000.0;
-constexpr int64_t kMostPriority = 100;
+constexpr int64_t kMaxMillis = 24LL * 3600 * 1000;
+constexpr int64_t kMaxCount = 1'000'000;
+constexpr double kMaxWorth = 1'000'000.0;
+constexpr int64_t kMaxPriority = 100;
 
-// Reads the fields of one object of a rule; keeps every fault as a finding.
+// Reads the fields of one object of a rule and adds every error as a finding.
 class FieldReader {
  public:
   FieldReader(const Json& object, std::string rule, std::string part,
@@ -27,7 +27,7 @@
         part_(std::move(part)),
         findings_(findings) {}
 
-  void Fault(const std::string& key, const std::string& expected) {
+  void Fail(const std::string& key, const std::string& expected) {
     findings_.push_back({Finding::Severity::kError, rule_, 0,
                          absl::StrCat(part_, key, ": expected ", expected)});
   }
@@ -44,11 +44,11 @@
         !value->get_ref<const std::string&>().empty()) {
       return value->get<std::string>();
     }
-    if (value != nullptr || required) Fault(key, "a text that is not empty");
+    if (value != nullptr || required) Fail(key, "a non-empty string");
     return "";
   }
 
-  // Accepts one text or a list of them.
+  // Accepts a string or a list of strings.
   std::vector<std::string> Texts(const std::string& key) {
     const Json* value = Find(key);
     if (value == nullptr) return {};
@@ -61,7 +61,7 @@
       }
     }
     if (!is_list || texts.size() != value->size()) {
-      Fault(key, "a text or a list of texts");
+      Fail(key, "a string or a list of strings");
     }
     return texts;
   }
@@ -71,34 +71,34 @@
     for (std::string& text : Texts(key)) {
       const auto star = text.find('*');
       if (star != std::string::npos && star + 1 != text.size()) {
-        Fault(key, "a name with '*' only at its end");
+        Fail(key, "a name with '*' only at its end");
       }
       patterns.emplace_back(std::move(text));
     }
     return patterns;
   }
 
-  int64_t Integer(const std::string& key, int64_t fallback, int64_t least,
-                  int64_t most) {
+  int64_t Integer(const std::string& key, int64_t fallback, int64_t min,
+                  int64_t max) {
     const Json* value = Find(key);
     if (value == nullptr) return fallback;
     if (value->is_number_integer()) {
       const int64_t number = value->get<int64_t>();
-      if (number >= least && number <= most) return number;
+      if (number >= min && number <= max) return number;
     }
-    Fault(key, absl::StrCat("a whole number from ", least, " to ", most));
+    Fail(key, absl::StrCat("a whole number from ", min, " to ", max));
     return fallback;
   }
 
-  double Number(const std::string& key, double fallback, double least,
-                double most) {
+  double Number(const std::string& key, double fallback, double min,
+                double max) {
     const Json* value = Find(key);
     if (value == nullptr) return fallback;
     if (value->is_number()) {
       const double number = value->get<double>();
-      if (number >= least && number <= most) return number;
+      if (number >= min && number <= max) return number;
     }
-    Fault(key, absl::StrCat("a number from ", least, " to ", most));
+    Fail(key, absl::StrCat("a number from ", min, " to ", max));
     return fallback;
   }
 
@@ -106,7 +106,7 @@
     const Json* value = Find(key);
     if (value == nullptr) return std::nullopt;
     if (value->is_boolean()) return value->get<bool>();
-    Fault(key, "true or false");
+    Fail(key, "true or false");
     return std::nullopt;
   }
 
@@ -154,9 +154,9 @@
   const auto to = ParseClockTime(reader.Text("to", true));
   const auto offset = ParseUtcOffset(reader.Text("utc_offset", true));
   reader.RejectUnknown();
-  if (!from) reader.Fault("from", "HH:MM");
-  if (!to) reader.Fault("to", "HH:MM");
-  if (!offset) reader.Fault("utc_offset", "+HH:MM or -HH:MM");
+  if (!from) reader.Fail("from", "HH:MM");
+  if (!to) reader.Fail("to", "HH:MM");
+  if (!offset) reader.Fail("utc_offset", "+HH:MM or -HH:MM");
   if (!from || !to || !offset) return std::nullopt;
   return TimeOfDay{*from, *to, *offset};
 }
@@ -173,10 +173,10 @@
   when.data_centres = reader.Patterns("data_centre");
   when.model_is_cold = reader.Flag("model_is_cold");
   when.log_is_down = reader.Flag("log_is_down");
-  const int64_t above = reader.Integer("replicas_above", -1, 0, kMostCount);
+  const int64_t above = reader.Integer("replicas_above", -1, 0, kMaxCount);
   if (above >= 0) when.replicas_above = static_cast<int>(above);
   if (const Json* headers = reader.Find("headers"); headers != nullptr) {
-    if (!headers->is_object()) reader.Fault("headers", "an object");
+    if (!headers->is_object()) reader.Fail("headers", "an object");
     FieldReader inner(*headers, rule, "when.headers.", findings);
     for (const auto& [name, value] : headers->items()) {
       when.headers[absl::AsciiStrToLower(name)] =
@@ -187,7 +187,7 @@
     if (window->is_object()) {
       when.time_of_day = ParseTimeOfDay(*window, rule, findings);
     } else {
-      reader.Fault("time_of_day", "an object with from, to and utc_offset");
+      reader.Fail("time_of_day", "an object with from, to and utc_offset");
     }
   }
   reader.RejectUnknown();
@@ -198,7 +198,7 @@
   const std::string text = reader.Text("while_log_down", false);
   if (text == "wait") return WhileLogDown::kWait;
   if (!text.empty() && text != "refuse") {
-    reader.Fault("while_log_down", "\"refuse\" or \"wait\"");
+    reader.Fail("while_log_down", "\"refuse\" or \"wait\"");
   }
   return WhileLogDown::kRefuse;
 }
@@ -210,18 +210,18 @@
   const Json* list = reader.Find("services");
   if (list == nullptr) return shares;
   if (!list->is_array()) {
-    reader.Fault("services", "a list of objects");
+    reader.Fail("services", "a list of objects");
     return shares;
   }
   for (const Json& item : *list) {
     if (!item.is_object()) {
-      reader.Fault("services", "a list of objects");
+      reader.Fail("services", "a list of objects");
       continue;
     }
     FieldReader share(item, rule, "then.services.", findings);
     ServiceShare parsed;
     parsed.service = share.Text("name", true);
-    parsed.weight = share.Number("weight", 1.0, 0.0, kMostWorth);
+    parsed.weight = share.Number("weight", 1.0, 0.0, kMaxWorth);
     share.RejectUnknown();
     shares.push_back(std::move(parsed));
   }
@@ -238,33 +238,33 @@
   const std::string refuse = reader.Text("refuse", false);
   if (!refuse.empty()) then.refuse = refuse;
   then.deadline = std::chrono::milliseconds(
-      reader.Integer("deadline_ms", ToMillis(then.deadline), 1, kMostMillis));
-  then.worth = reader.Number("worth", then.worth, 0.001, kMostWorth);
+      reader.Integer("deadline_ms", ToMillis(then.deadline), 1, kMaxMillis));
+  then.worth = reader.Number("worth", then.worth, 0.001, kMaxWorth);
   then.repeatable = reader.Flag("repeatable").value_or(true);
   then.retries = static_cast<int>(reader.Integer("retries", 2, 0, 10));
   then.queue_limit = static_cast<int>(
-      reader.Integer("queue_limit", then.queue_limit, 0, kMostCount));
+      reader.Integer("queue_limit", then.queue_limit, 0, kMaxCount));
   then.keep_warm = std::chrono::milliseconds(
-      reader.Integer("keep_warm_ms", 0, 0, kMostMillis));
+      reader.Integer("keep_warm_ms", 0, 0, kMaxMillis));
   then.least_replicas =
-      static_cast<int>(reader.Integer("least_replicas", 0, 0, kMostCount));
+      static_cast<int>(reader.Integer("least_replicas", 0, 0, kMaxCount));
   then.most_replicas = static_cast<int>(
-      reader.Integer("most_replicas", then.most_replicas, 0, kMostCount));
+      reader.Integer("most_replicas", then.most_replicas, 0, kMaxCount));
   then.data_centres = reader.Texts("data_centres");
   then.while_log_down = ParseWhileLogDown(reader);
   then.services = ParseServices(reader, rule, findings);
   then.target_latency = std::chrono::milliseconds(
-      reader.Integer("target_latency_ms", 0, 0, kMostMillis));
+      reader.Integer("target_latency_ms", 0, 0, kMaxMillis));
   then.patience = std::chrono::milliseconds(
-      reader.Integer("patience_ms", 0, 0, kMostMillis));
+      reader.Integer("patience_ms", 0, 0, kMaxMillis));
   then.priority =
-      static_cast<int>(reader.Integer("priority", -1, 0, kMostPriority));
+      static_cast<int>(reader.Integer("priority", -1, 0, kMaxPriority));
   then.resumable = reader.Flag("resumable").value_or(false);
   then.needs_claim = reader.Flag("claim").value_or(true);
   then.is_public = reader.Flag("public").value_or(false);
   reader.RejectUnknown();
   if (then.least_replicas > then.most_replicas) {
-    reader.Fault(
+    reader.Fail(
         "least_replicas",
         absl::StrCat("at most most_replicas, which is ", then.most_replicas));
   }
@@ -283,12 +283,12 @@
   reader.Text("name", true);
   const Json empty = Json::object();
   const Json* when = reader.Find("when");
-  if (when != nullptr && !when->is_object()) reader.Fault("when", "an object");
+  if (when != nullptr && !when->is_object()) reader.Fail("when", "an object");
   const bool has_when = when != nullptr && when->is_object();
   rule.when = ParseCondition(has_when ? *when : empty, rule.name, findings);
   const Json* then = reader.Find("then");
   const bool has_then = then != nullptr && then->is_object();
-  if (!has_then) reader.Fault("then", "an object");
+  if (!has_then) reader.Fail("then", "an object");
   rule.then = ParseOutcome(has_then ? *then : empty, rule.name, findings);
   reader.RejectUnknown();
   return rule;
@@ -324,7 +324,7 @@
       reader.Number("cold_start_weight", 0.5, 0.0, 1.0);
   const Json* rules = reader.Find("rules");
   if (rules == nullptr || !rules->is_array() || rules->empty()) {
-    reader.Fault("rules", "a list of at least one rule");
+    reader.Fail("rules", "a list of at least one rule");
   } else {
     for (const Json& rule : *rules) {
       parsed.set.rules.push_back(ParseRule(rule, parsed.findings));
@@ -337,8 +337,8 @@
 void LocateFindings(const std::string& text, std::vector<Finding>& findings) {
   for (Finding& finding : findings) {
     if (finding.rule.empty()) continue;
-    // The name's own line stands for the rule; the document library keeps no
-    // positions, and a rule's name is unique in a valid set.
+    // Reports the line of the rule's name: the JSON library keeps no positions,
+    // and names are unique in a valid set.
     const auto position = text.find(Json(finding.rule).dump());
     if (position == std::string::npos) continue;
     finding.line = 1 + static_cast<int>(std::count(
--- a/rules/rule_set_parser.h
+++ b/rules/rule_set_parser.h
@@ -9,13 +9,12 @@
 
 namespace applehall {
 
-// One thing wrong with a rule set. An error keeps the set from being
-// published; a warning is for the author to weigh.
+// A problem in a rule set. Errors prevent publication, warnings do not.
 struct Finding {
   enum class Severity : uint8_t { kWarning, kError };
   Severity severity = Severity::kError;
   std::string rule;  // Empty for the set as a whole.
-  int line = 0;      // 1-based; 0 when the text is not at hand.
+  int line = 0;      // 1-based; 0 if unknown.
   std::string message;
 
   std::string ToString() const;
@@ -28,11 +27,11 @@
   bool has_errors() const;
 };
 
-// Turns a document into rules; every unknown field, wrong type or bad range
-// is a finding. Requires: nothing. Thread-safe.
+// Parses a document into rules. Every unknown field, wrong type and value out
+// of range is a finding. Requires: nothing. Thread-safe.
 ParsedRuleSet ParseRuleSet(const Json& document);
 
-// Adds line numbers to findings, looked up in the text of the document.
+// Adds line numbers to findings by looking rule names up in the document text.
 // Requires: nothing. Thread-safe.
 void LocateFindings(const std::string& text, std::vector<Finding>& findings);
 
--- a/rules/team_book.cc
+++ b/rules/team_book.cc
@@ -6,21 +6,21 @@
 
 double Team::CostOf(std::optional<double> declared) const {
   if (unit == QuotaUnit::kRequests) return 1;
-  // Nothing runs for nothing, whatever a caller declares.
+  // No request is free, whatever its caller declares.
   return std::max(1.0, declared.value_or(plain_tokens));
 }
 
 void TeamBook::Add(Team team, const std::vector<std::string>& keys) {
   for (const std::string& key : keys) {
     const ApiKeyDigest digest = ApiKeyDigest::Of(key);
-    holders_.insert({digest.Prefix(), {digest, team.name}});
+    keys_by_prefix_.insert({digest.Prefix(), {digest, team.name}});
   }
   const std::string name = team.name;
   teams_[name] = std::move(team);
 }
 
 const Team* TeamBook::FindByKey(const ApiKeyDigest& key) const {
-  const auto [first, last] = holders_.equal_range(key.Prefix());
+  const auto [first, last] = keys_by_prefix_.equal_range(key.Prefix());
   for (auto it = first; it != last; ++it) {
     if (it->second.key == key) return Find(it->second.team);
   }
--- a/rules/team_book.h
+++ b/rules/team_book.h
@@ -10,39 +10,39 @@
 
 namespace applehall {
 
-// What a team may use, over all hosts together: a token bucket.
+// A team's limit over all hosts together, as a token bucket.
 struct TeamQuota {
   double tokens_per_second = 0;  // Zero: no limit.
-  double burst_tokens = 0;       // On top of it, at once.
+  double burst_tokens = 0;       // Additional burst.
 
   bool is_limited() const { return tokens_per_second > 0; }
 };
 
-// What a request counts against its team's quota.
+// The unit in which requests are charged to their team's quota.
 enum class QuotaUnit : uint8_t { kRequests, kTokens };
 
-// A customer's team, known by its API keys.
+// A customer's team, identified by its API keys.
 struct Team {
   std::string name;
-  // Rank of its requests at an engine, 0 first, before that of the rule;
-  // negative: the rule's.
+  // Scheduling priority of its requests at an engine, 0 first; overrides that
+  // of the rule unless negative.
   int priority = -1;
   QuotaUnit unit = QuotaUnit::kRequests;
-  // Of a request that does not say how many tokens it takes.
+  // Tokens charged for a request that does not declare its tokens.
   double plain_tokens = 1;
   TeamQuota quota;
 
-  // What a request counts that declares `declared` tokens, or none. Requires:
-  // nothing. Thread-safe.
+  // Returns the charge for a request that declares `declared` tokens, or none.
+  // Requires: nothing. Thread-safe.
   double CostOf(std::optional<double> declared) const;
 };
 
-// The teams of one version of the configuration and their keys. Never changes
-// once built.
+// The teams of one version of the configuration and their keys. Immutable after
+// construction.
 class TeamBook {
  public:
-  // Without a call of this a book has no teams, and no request needs a key.
-  // Requires: `keys` belong to no other team. Not thread-safe.
+  // Adds a team. As long as there are none, no request needs a key. Requires:
+  // `keys` belong to no other team. Not thread-safe.
   void Add(Team team, const std::vector<std::string>& keys);
 
   // Null if no team holds the key. Thread-safe.
@@ -53,12 +53,12 @@
   bool is_empty() const { return teams_.empty(); }
 
  private:
-  struct Holder {
+  struct KeyOwner {
     ApiKeyDigest key;
     std::string team;
   };
   std::map<std::string, Team> teams_;
-  std::multimap<uint64_t, Holder> holders_;  // By the digest's prefix.
+  std::multimap<uint64_t, KeyOwner> keys_by_prefix_;
 };
 
 }  // namespace applehall
--- a/tests/core/byte_patch_test.cc
+++ b/tests/core/byte_patch_test.cc
@@ -9,7 +9,7 @@
 namespace applehall {
 namespace {
 
-constexpr size_t kMost = 1 << 20;
+constexpr size_t kMaxBytes = 1 << 20;
 constexpr uint64_t kSeed = 20261203;
 
 std::string RandomBytes(Random& random, size_t size, uint64_t alphabet) {
@@ -20,7 +20,7 @@
   return bytes;
 }
 
-TEST(BytePatchTest, GrowsWithTheChangeWhereverItIs) {
+TEST(BytePatchTest, PatchSizeDependsOnTheChangeOnly) {
   Random random(kSeed);
   const std::string base = RandomBytes(random, 96'000, 256);
   std::string target = base;
@@ -28,14 +28,14 @@
   target.insert(50'000, "a route that was added");
   target.erase(90'000, 700);
   const std::string patch = MakeBytePatch(base, target);
-  EXPECT_EQ(ApplyBytePatch(base, patch, kMost), target);
+  EXPECT_EQ(ApplyBytePatch(base, patch, kMaxBytes), target);
   EXPECT_LT(patch.size(), 300u);
 }
 
-TEST(BytePatchTest, AnyTargetComesBack) {
+TEST(BytePatchTest, RoundTripRestoresAnyTarget) {
   Random random(kSeed);
   for (int round = 0; round < 500; ++round) {
-    // A small alphabet makes blocks that repeat.
+    // A small alphabet produces repeated blocks.
     const uint64_t alphabet = round % 2 == 0 ? 2 : 200;
     const std::string base = RandomBytes(random, random.Below(600), alphabet);
     std::string target = base;
@@ -46,27 +46,27 @@
     }
     if (random.Below(10) == 0) target.clear();
     const std::string patch = MakeBytePatch(base, target);
-    ASSERT_EQ(ApplyBytePatch(base, patch, kMost), target)
+    ASSERT_EQ(ApplyBytePatch(base, patch, kMaxBytes), target)
         << "seed " << kSeed << " round " << round;
   }
 }
 
-// Guards against a patch from another host that reads beyond its base or makes
-// this host run out of memory.
-TEST(BytePatchTest, MalformedPatchesAreTurnedAway) {
+// Guards against a patch from another host that reads beyond its base or
+// exhausts this host's memory.
+TEST(BytePatchTest, MalformedPatchesAreRejected) {
   Random random(kSeed);
   const std::string base = RandomBytes(random, 500, 256);
   const std::string target = base + "and more";
   const std::string patch = MakeBytePatch(base, target);
-  EXPECT_FALSE(ApplyBytePatch("short", patch, kMost));
+  EXPECT_FALSE(ApplyBytePatch("short", patch, kMaxBytes));
   EXPECT_FALSE(ApplyBytePatch(base, patch, target.size() - 1));
-  EXPECT_FALSE(ApplyBytePatch(base, patch.substr(0, 5), kMost));
+  EXPECT_FALSE(ApplyBytePatch(base, patch.substr(0, 5), kMaxBytes));
   for (int round = 0; round < 2000; ++round) {
     std::string damaged = patch;
     damaged[random.Below(damaged.size())] =
         static_cast<char>(random.Below(256));
-    const auto made = ApplyBytePatch(base, damaged, kMost);
-    if (made) EXPECT_LE(made->size(), kMost);
+    const auto made = ApplyBytePatch(base, damaged, kMaxBytes);
+    if (made) EXPECT_LE(made->size(), kMaxBytes);
   }
 }
 
--- a/tests/core/core_test.cc
+++ b/tests/core/core_test.cc
@@ -27,9 +27,10 @@
             "ok");
 }
 
-TEST(DaemonSettingsTest, FaultsNameFileKeyAndExpectation) {
-  EXPECT_EQ(ErrorOf(Settings(",\"colour\":1")),
-            "node.json: key \"colour\": expected no such key (it is unknown)");
+TEST(DaemonSettingsTest, ErrorsNameFileKeyAndExpectedValue) {
+  EXPECT_EQ(
+      ErrorOf(Settings(",\"colour\":1")),
+      "node.json: key \"colour\": expected a known key (this one is unknown)");
   EXPECT_EQ(ErrorOf(Settings(",\"engine_groups\":0")),
             "node.json: key \"engine_groups\": expected a whole number from 1 "
             "to 10000");
@@ -43,7 +44,7 @@
   EXPECT_NE(ErrorOf("{").find("node.json: "), std::string::npos);
 }
 
-TEST(UuidTest, TellsItsTime) {
+TEST(UuidTest, TimeOfIssueIsDecoded) {
   Random random(3);
   const TimePoint now = FromUnixMillis(1'800'000'000'123);
   EXPECT_EQ(Uuid7Time(MakeUuid7(now, random)), now);
@@ -51,7 +52,7 @@
   EXPECT_EQ(Uuid7Time("0190a1b2-c3d4-4e5f-8a6b-7c8d9e0f1a2b"), std::nullopt);
 }
 
-TEST(PeerMessageTest, MalformedAndForeignVersionsAreRefused) {
+TEST(PeerMessageTest, MalformedMessagesAndOtherVersionsAreRejected) {
   const PeerMessage message{PeerMessageType::kDemand, Json{{"x", 1}}};
   const std::vector<uint8_t> bytes = message.Encode();
   ASSERT_TRUE(PeerMessage::Decode(bytes));
--- a/tests/core/event_log_test.cc
+++ b/tests/core/event_log_test.cc
@@ -12,9 +12,9 @@
 namespace applehall {
 namespace {
 
-// Whoever reads the log stands still, and the pipe between is full. Decisions
-// are logged by the thread that serves requests; if writing waited, all would.
-TEST(EventLogTest, StalledReaderCostsLinesAndNoTime) {
+// Guards against a full pipe that blocks the thread that serves requests, which
+// also writes the log, while the reader of the log is stalled.
+TEST(EventLogTest, StalledReaderDropsLinesWithoutBlocking) {
   int ends[2];
   ASSERT_EQ(pipe(ends), 0);
   std::cout.flush();
@@ -39,10 +39,11 @@
   reader.join();
   close(ends[0]);
   EXPECT_GT(dropped, 0u);
-  EXPECT_LT(dropped, static_cast<uint64_t>(kLines)) << "the queue kept some";
+  EXPECT_LT(dropped, static_cast<uint64_t>(kLines))
+      << "the queue must keep some lines";
 }
 
-TEST(MetricsTest, HistogramsCountWhatIsUpToEachBound) {
+TEST(MetricsTest, HistogramBucketsAreCumulative) {
   Metrics metrics;
   for (const int ms : {3, 70, 100, 3000, 60000}) {
     metrics.Observe("request", std::chrono::milliseconds(ms));
--- a/tests/rules/rule_set_test.cc
+++ b/tests/rules/rule_set_test.cc
@@ -27,20 +27,20 @@
   return text;
 }
 
-const Json kLast{{"name", "last"}, {"then", Json::object()}};
+const Json kCatchAll{{"name", "last"}, {"then", Json::object()}};
 
-TEST(RuleSetParserTest, UnknownFieldsAreFindings) {
+TEST(RuleSetParserTest, UnknownFieldsAreReported) {
   const Json rule{{"name", "x"},
                   {"when", {{"colour", "red"}}},
                   {"then", {{"deadline", 5}}}};
-  const std::string text = FindingsOf(Document({rule, kLast}));
+  const std::string text = FindingsOf(Document({rule, kCatchAll}));
   EXPECT_NE(text.find("rule \"x\": when.colour: unknown field"),
             std::string::npos);
   EXPECT_NE(text.find("rule \"x\": then.deadline: unknown field"),
             std::string::npos);
 }
 
-TEST(RuleSetParserTest, WrongTypesAndRangesAreFindings) {
+TEST(RuleSetParserTest, WrongTypesAndRangesAreReported) {
   const Json rule{{"name", "x"},
                   {"when", {{"model", 7}, {"caller", "a*b"}}},
                   {"then",
@@ -49,7 +49,7 @@
                     {"while_log_down", "run"},
                     {"least_replicas", 3},
                     {"most_replicas", 1}}}};
-  const std::string text = FindingsOf(Document({rule, kLast}));
+  const std::string text = FindingsOf(Document({rule, kCatchAll}));
   for (const char* key :
        {"when.model", "when.caller", "then.deadline_ms", "then.worth",
         "then.while_log_down", "then.least_replicas"}) {
@@ -57,17 +57,17 @@
   }
 }
 
-TEST(RuleCheckerTest, ShadowedRuleIsFound) {
+TEST(RuleCheckerTest, ShadowedRuleIsReported) {
   const Json wide{{"name", "wide"},
                   {"when", {{"model", "horse-*"}}},
                   {"then", Json::object()}};
   const Json narrow{{"name", "narrow"},
                     {"when", {{"model", "horse-7"}, {"caller", "web"}}},
                     {"then", Json::object()}};
-  EXPECT_NE(FindingsOf(Document({wide, narrow, kLast}))
+  EXPECT_NE(FindingsOf(Document({wide, narrow, kCatchAll}))
                 .find("rule \"narrow\": can never decide"),
             std::string::npos);
-  EXPECT_EQ(FindingsOf(Document({narrow, wide, kLast})), "");
+  EXPECT_EQ(FindingsOf(Document({narrow, wide, kCatchAll})), "");
 }
 
 TEST(RuleCheckerTest, LastRuleMustMatchEverything) {
@@ -77,7 +77,7 @@
             std::string::npos);
 }
 
-TEST(RuleCheckerTest, ModelsAndMemoryAreCheckedAgainstTheStore) {
+TEST(RuleCheckerTest, ModelsAndMemoryAreCheckedAgainstTheCatalogue) {
   CheckFacts facts;
   facts.catalogue = {{"big", "", 9000}, {"small", "", 10}};
   facts.largest_engine_bytes = 5000;
@@ -88,13 +88,13 @@
                    {{"models", {"big", "gone", "small"}},
                     {"least_replicas", 2},
                     {"most_replicas", 2}}}};
-  const std::string text = FindingsOf(Document({rule, kLast}), facts);
+  const std::string text = FindingsOf(Document({rule, kCatchAll}), facts);
   EXPECT_NE(text.find("no engine serves \"gone\""), std::string::npos);
   EXPECT_NE(text.find("the largest engine has 5000"), std::string::npos);
   EXPECT_NE(text.find("least_replicas up to here"), std::string::npos);
 }
 
-TEST(RuleSetParserTest, FindingsNameTheLine) {
+TEST(RuleSetParserTest, FindingsContainTheLine) {
   const std::string text =
       "// comment\n{\"name\": \"n\", \"author\": \"a\", \"reason\": \"r\",\n"
       "\"rules\": [\n{\"name\": \"x\", \"then\": {\"oops\": 1}},\n"
@@ -105,25 +105,25 @@
   EXPECT_EQ(parsed.findings[0].line, 4);
 }
 
-TEST(RuleTest, TimeOfDayMayPassMidnight) {
+TEST(RuleTest, TimeOfDayMaySpanMidnight) {
   using std::chrono::hours;
   const TimeOfDay night{hours(22), hours(6), hours(9)};
-  const TimePoint midnight_utc = FromUnixMillis(0);  // 09:00 there.
+  const TimePoint midnight_utc = FromUnixMillis(0);  // 09:00 local time.
   EXPECT_FALSE(night.Contains(midnight_utc));
   EXPECT_TRUE(night.Contains(midnight_utc + hours(14)));
   EXPECT_TRUE(night.Contains(midnight_utc + hours(20)));
 }
 
-// A change of one rule in a large set must reach the log as a small record
-// and give the very document that was published.
-TEST(RuleBookTest, DeltaGivesTheSameDocument) {
+// A delta of one rule in a large set must be small and must restore exactly the
+// document that was published.
+TEST(RuleBookTest, DeltaRestoresThePublishedDocument) {
   std::vector<Json> rules;
   for (int i = 0; i < 500; ++i) {
     rules.push_back({{"name", "rule-" + std::to_string(i)},
                      {"when", {{"model", "m" + std::to_string(i)}}},
                      {"then", {{"worth", i + 1}}}});
   }
-  rules.push_back(kLast);
+  rules.push_back(kCatchAll);
   const Json before = Document(rules);
   rules[200]["then"]["worth"] = 9999;
   rules.erase(rules.begin() + 201);
@@ -139,9 +139,9 @@
   EXPECT_EQ(book.version(), 9u);
 }
 
-// A paused host wakes and writes the state it remembers. It is older than
-// what is in force and must change nothing.
-TEST(RuleBookTest, OlderStateIsIgnored) {
+// Guards against a host that resumes from a pause and writes its old snapshot,
+// which would replace newer rules.
+TEST(RuleBookTest, OlderSnapshotIsIgnored) {
   RuleBook book;
   book.Publish(5, Json{{"base", 0}, {"document", TestRules("first")}});
   book.Publish(8, Json{{"base", 5}, {"document", TestRules("second")}});
@@ -149,18 +149,19 @@
   EXPECT_EQ(book.current()->set.name, "second");
 }
 
-TEST(RuleBookTest, WrongDocumentsAreVoid) {
+TEST(RuleBookTest, InvalidDocumentsAreRejected) {
   RuleBook book;
   EXPECT_EQ(book.Publish(1, Json{{"base", 0}, {"document", {{"name", "n"}}}}),
             RuleBook::Result::kInvalid);
   EXPECT_EQ(book.Publish(2, Json{{"base", 0}}), RuleBook::Result::kInvalid);
-  EXPECT_EQ(book.Publish(
-                3, Json{{"base", 0}, {"document", Document({kLast, kLast})}}),
-            RuleBook::Result::kInvalid);
+  EXPECT_EQ(
+      book.Publish(
+          3, Json{{"base", 0}, {"document", Document({kCatchAll, kCatchAll})}}),
+      RuleBook::Result::kInvalid);
   EXPECT_EQ(book.current(), nullptr);
 }
 
-TEST(RuleExplainerTest, SaysWhatARuleDoes) {
+TEST(RuleExplainerTest, ExplainsConditionAndOutcome) {
   const ParsedRuleSet parsed = ParseRuleSet(TestRules());
   const std::string text = ExplainRuleSet(parsed.set);
   EXPECT_NE(text.find("When the service is \"doors\""), std::string::npos);
@@ -168,7 +169,7 @@
   EXPECT_NE(text.find("In every other case"), std::string::npos);
 }
 
-TEST(RuleExplainerTest, DiffNamesChangedAddedAndRemoved) {
+TEST(RuleExplainerTest, DiffListsChangedAddedAndRemovedRules) {
   const RuleSet before = ParseRuleSet(TestRules()).set;
   RuleSet after = before;
   after.rules[0].then.worth = 50;
--- a/tests/rules/team_book_test.cc
+++ b/tests/rules/team_book_test.cc
@@ -5,7 +5,7 @@
 namespace applehall {
 namespace {
 
-TEST(TeamBookTest, FindsTheTeamOfAKeyAndOfNoOther) {
+TEST(TeamBookTest, FindsTeamsByExactKeyOnly) {
   TeamBook book;
   EXPECT_TRUE(book.is_empty());
   Team studs;
@@ -27,14 +27,14 @@
   }
 }
 
-TEST(TeamBookTest, CostIsTheTokensThatARequestDeclares) {
+TEST(TeamBookTest, CostIsTheDeclaredTokens) {
   Team team;
   team.plain_tokens = 200;
-  EXPECT_EQ(team.CostOf(1540), 1);  // Counted by requests.
+  EXPECT_EQ(team.CostOf(1540), 1);  // Charged by requests.
   team.unit = QuotaUnit::kTokens;
   EXPECT_EQ(team.CostOf(1540), 1540);
   EXPECT_EQ(team.CostOf(std::nullopt), 200);
-  EXPECT_EQ(team.CostOf(0), 1);  // No free ride.
+  EXPECT_EQ(team.CostOf(0), 1);  // No request is free.
 }
 
 }  // namespace
