--- a/tests/rules/rule_set_test.cc
+++ b/tests/rules/rule_set_test.cc
@@ -128,37 +128,38 @@
   rules[200]["then"]["worth"] = 9999;
   rules.erase(rules.begin() + 201);
   const Json after = Document(rules);
-  RuleBook book;
-  ASSERT_EQ(book.Publish(5, Json{{"base", 0}, {"document", before}}),
+  RuleBook registry;
+  ASSERT_EQ(registry.Publish(5, Json{{"base", 0}, {"document", before}}),
             RuleBook::Result::kAccepted);
   const Json delta = RuleSetDelta::Between(before, after).ToJson();
   EXPECT_LT(delta.dump().size(), 400u);
-  ASSERT_EQ(book.Publish(9, Json{{"base", 5}, {"delta", delta}}),
+  ASSERT_EQ(registry.Publish(9, Json{{"base", 5}, {"delta", delta}}),
             RuleBook::Result::kAccepted);
-  EXPECT_EQ(book.current()->Document(), after);
-  EXPECT_EQ(book.version(), 9u);
+  EXPECT_EQ(registry.current()->Document(), after);
+  EXPECT_EQ(registry.version(), 9u);
 }
 
 // Guards against a host that resumes from a pause and writes its old snapshot,
 // which would replace newer rules.
 TEST(RuleBookTest, OlderSnapshotIsIgnored) {
-  RuleBook book;
-  book.Publish(5, Json{{"base", 0}, {"document", TestRules("first")}});
-  book.Publish(8, Json{{"base", 5}, {"document", TestRules("second")}});
-  EXPECT_TRUE(book.Install(5, TestRules("first")).ok());
-  EXPECT_EQ(book.current()->set.name, "second");
+  RuleBook registry;
+  registry.Publish(5, Json{{"base", 0}, {"document", TestRules("first")}});
+  registry.Publish(8, Json{{"base", 5}, {"document", TestRules("second")}});
+  EXPECT_TRUE(registry.Install(5, TestRules("first")).ok());
+  EXPECT_EQ(registry.current()->set.name, "second");
 }
 
 TEST(RuleBookTest, InvalidDocumentsAreRejected) {
-  RuleBook book;
-  EXPECT_EQ(book.Publish(1, Json{{"base", 0}, {"document", {{"name", "n"}}}}),
-            RuleBook::Result::kInvalid);
-  EXPECT_EQ(book.Publish(2, Json{{"base", 0}}), RuleBook::Result::kInvalid);
+  RuleBook registry;
   EXPECT_EQ(
-      book.Publish(
+      registry.Publish(1, Json{{"base", 0}, {"document", {{"name", "n"}}}}),
+      RuleBook::Result::kInvalid);
+  EXPECT_EQ(registry.Publish(2, Json{{"base", 0}}), RuleBook::Result::kInvalid);
+  EXPECT_EQ(
+      registry.Publish(
           3, Json{{"base", 0}, {"document", Document({kCatchAll, kCatchAll})}}),
       RuleBook::Result::kInvalid);
-  EXPECT_EQ(book.current(), nullptr);
+  EXPECT_EQ(registry.current(), nullptr);
 }
 
 TEST(RuleExplainerTest, ExplainsConditionAndOutcome) {
--- a/tests/rules/team_book_test.cc
+++ b/tests/rules/team_book_test.cc
@@ -6,24 +6,24 @@
 namespace {
 
 TEST(TeamBookTest, FindsTeamsByExactKeyOnly) {
-  TeamBook book;
-  EXPECT_TRUE(book.is_empty());
+  TeamBook registry;
+  EXPECT_TRUE(registry.is_empty());
   Team studs;
   studs.name = "studs";
   studs.priority = 1;
-  book.Add(studs, {"key-1", "key-2"});
+  registry.Add(studs, {"key-1", "key-2"});
   Team agents;
   agents.name = "agents";
-  book.Add(agents, {"key-3"});
-  EXPECT_FALSE(book.is_empty());
+  registry.Add(agents, {"key-3"});
+  EXPECT_FALSE(registry.is_empty());
   for (const char* key : {"key-1", "key-2"}) {
-    const Team* team = book.FindByKey(ApiKeyDigest::Of(key));
+    const Team* team = registry.FindByKey(ApiKeyDigest::Of(key));
     ASSERT_NE(team, nullptr) << key;
     EXPECT_EQ(team->name, "studs");
   }
-  EXPECT_EQ(book.FindByKey(ApiKeyDigest::Of("key-3"))->name, "agents");
+  EXPECT_EQ(registry.FindByKey(ApiKeyDigest::Of("key-3"))->name, "agents");
   for (const char* key : {"", "key", "key-11", "KEY-1"}) {
-    EXPECT_EQ(book.FindByKey(ApiKeyDigest::Of(key)), nullptr) << key;
+    EXPECT_EQ(registry.FindByKey(ApiKeyDigest::Of(key)), nullptr) << key;
   }
 }
 
