--- a/admission/quota_gate.h
+++ b/admission/quota_gate.h
@@ -6,7 +6,7 @@
 
 #include "admission/quota_types.h"
 #include "core/clock.h"
-#include "rules/team_book.h"
+#include "rules/team_registry.h"
 
 namespace applehall {
 
--- a/admission/quota_ledger.cc
+++ b/admission/quota_ledger.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void QuotaLedger::SetTeams(std::shared_ptr<const TeamBook> teams,
+void QuotaLedger::SetTeams(std::shared_ptr<const TeamRegistry> teams,
                            TimePoint now) {
   presence_.Start(now);
   if (teams_ == teams) return;
--- a/admission/quota_ledger.h
+++ b/admission/quota_ledger.h
@@ -8,7 +8,7 @@
 #include "admission/host_presence.h"
 #include "admission/quota_types.h"
 #include "core/clock.h"
-#include "rules/team_book.h"
+#include "rules/team_registry.h"
 
 namespace applehall {
 
@@ -39,7 +39,7 @@
       : settings_(settings), presence_(settings.expected_hosts) {}
 
   // The teams in force. Not thread-safe.
-  void SetTeams(std::shared_ptr<const TeamBook> teams, TimePoint now);
+  void SetTeams(std::shared_ptr<const TeamRegistry> teams, TimePoint now);
   // Counts of a process whose number differs start anew. Not thread-safe.
   void TakeUsage(const std::string& host, const std::string& data_centre,
                  uint64_t incarnation, const QuotaUsage& usage, TimePoint now);
@@ -82,7 +82,7 @@
 
   Settings settings_;
   QuotaParts parts_;
-  std::shared_ptr<const TeamBook> teams_;
+  std::shared_ptr<const TeamRegistry> teams_;
   std::map<std::string, Host> hosts_;
   std::map<std::string, QuotaBucket> buckets_;
   HostPresence presence_;
--- a/admission/quota_types.h
+++ b/admission/quota_types.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "core/clock.h"
-#include "rules/team_book.h"
+#include "rules/team_registry.h"
 
 namespace applehall {
 
--- a/benchmarks/decision_benchmark.cc
+++ b/benchmarks/decision_benchmark.cc
@@ -65,7 +65,7 @@
 }
 
 void MatchRule(benchmark::State& state) {
-  RuleBook book;
+  RuleRegistry book;
   const size_t before = HeapBytes();
   book.Publish(1,
                Json{{"base", 0}, {"document", RulesDocument(state.range(0))}});
@@ -97,13 +97,13 @@
                                         1, Json{{"delta", there}})
                               .dump()
                               .size());
-  RuleBook book;
+  RuleRegistry book;
   book.Publish(1, Json{{"base", 0}, {"document", document}});
   LogOffset version = 1;
   for (auto _ : state) {
     const Json body{{"base", version},
                     {"delta", version % 2 == 1 ? there : back}};
-    if (book.Publish(version + 1, body) != RuleBook::Result::kAccepted) {
+    if (book.Publish(version + 1, body) != RuleRegistry::Result::kAccepted) {
       state.SkipWithError("the change was refused");
       return;
     }
--- a/core/api_key.cc
+++ b/core/api_key.cc
@@ -7,7 +7,7 @@
 
 namespace applehall {
 
-ApiKeyDigest ApiKeyDigest::Of(std::string_view key) {
+ApiKeyDigest ApiKeyDigest::FromKey(std::string_view key) {
   static_assert(kBytes == SHA256_DIGEST_LENGTH);
   ApiKeyDigest digest;
   SHA256(reinterpret_cast<const unsigned char*>(key.data()), key.size(),
--- a/core/api_key.h
+++ b/core/api_key.h
@@ -17,7 +17,7 @@
   static constexpr size_t kBytes = 32;
 
   // Requires: nothing. Thread-safe.
-  static ApiKeyDigest Of(std::string_view key);
+  static ApiKeyDigest FromKey(std::string_view key);
 
   // Lookup key of the digest; equal digests have equal prefixes. Requires:
   // nothing. Thread-safe.
--- a/core/clock.h
+++ b/core/clock.h
@@ -48,9 +48,9 @@
 };
 
 // A clock that moves only by Advance(), for tests and measurements.
-class PausedClock {
+class ManualClock {
  public:
-  explicit PausedClock(TimePoint start) : now_(start) {}
+  explicit ManualClock(TimePoint start) : now_(start) {}
 
   // Requires: nothing. Not thread-safe.
   TimePoint Now() const { return now_; }
@@ -63,7 +63,7 @@
 };
 
 static_assert(ClockSource<SystemClock>);
-static_assert(ClockSource<PausedClock>);
+static_assert(ClockSource<ManualClock>);
 
 // Milliseconds since the Unix epoch, the unit of every time on the wire.
 inline int64_t ToUnixMillis(TimePoint time) {
--- a/core/peer_message.h
+++ b/core/peer_message.h
@@ -22,11 +22,11 @@
   kFleetReport,   // To the placement owner: queued demand, running requests.
   kFleetPlan,     // From the owner: ready replicas, answers to demands.
   kStoreFollow,   // To the reader of the store: subscribes to its updates.
-  kStoreNews,     // From the reader: records that it read, their freshness.
+  kStoreUpdates,  // From the reader: records that it read, their freshness.
   kQuotaUsage,    // To the reader, without an owner: demand of teams here.
-  kQuotaWord,     // From the reader: the share of that demand to admit.
-  kPermitAsk,     // To the placement owner: requests for limited servers.
-  kPermitAnswer,  // From the owner: the requests that may be sent.
+  kQuotaShareUpdate,  // From the reader: the share of that demand to admit.
+  kPermitRequest,     // To the placement owner: requests for limited servers.
+  kPermitAnswer,      // From the owner: the requests that may be sent.
 };
 
 // Another host and the address that links to it connect to.
--- a/main/operator_commands.cc
+++ b/main/operator_commands.cc
@@ -124,12 +124,12 @@
   }
 }
 
-CommandExit ReportPublish(const PublishOutcome& outcome, const RuleBook& rules,
-                          OutputFormat format) {
-  const bool is_accepted = outcome.result == RuleBook::Result::kAccepted;
+CommandExit ReportPublish(const PublishOutcome& outcome,
+                          const RuleRegistry& rules, OutputFormat format) {
+  const bool is_accepted = outcome.result == RuleRegistry::Result::kAccepted;
   const auto current = rules.current();
   const std::string author = current ? current->set.author : "";
-  const std::string why = outcome.result == RuleBook::Result::kStaleBase
+  const std::string why = outcome.result == RuleRegistry::Result::kStaleBase
                               ? "another set came first"
                               : "the set is not valid";
   if (format == OutputFormat::kJson) {
@@ -278,7 +278,7 @@
   const SystemFacts system = SystemFromJson(*json);
   Json passed = Json::array();
   for (const Rule& rule : loaded->parsed.set.rules) {
-    const std::string why = rule.when.Mismatch(facts, system);
+    const std::string why = rule.when.MismatchReason(facts, system);
     if (!why.empty()) {
       passed.push_back({{"rule", rule.name}, {"why_not", why}});
       continue;
@@ -318,8 +318,8 @@
   if (!fold.ok()) return FailWith(fold.status());
   const auto current = fold->rules().current();
   if (fold->rules().version() != base) {
-    return ReportPublish({RuleBook::Result::kStaleBase, 0, 0}, fold->rules(),
-                         format);
+    return ReportPublish({RuleRegistry::Result::kStaleBase, 0, 0},
+                         fold->rules(), format);
   }
   // Only what changed goes to the log.
   Json body{{"document", loaded->document}};
--- a/node/control_fold.cc
+++ b/node/control_fold.cc
@@ -101,7 +101,7 @@
 void ControlFold::Judge(const LogRecord& record, const Json& body) {
   const std::string type = FieldOr<std::string>(body, "type", "");
   if (type == kPublish) {
-    const RuleBook::Result result = rules_.Publish(record.offset, body);
+    const RuleRegistry::Result result = rules_.Publish(record.offset, body);
     RememberOutcome(FieldOr<std::string>(body, "id", ""),
                     {result, record.offset, rules_.version()});
   } else if (type == kClaimGroup) {
--- a/node/control_fold.h
+++ b/node/control_fold.h
@@ -12,7 +12,7 @@
 #include "placement/ownership_table.h"
 #include "routing/crash_ledger.h"
 #include "routing/quarantine.h"
-#include "rules/rule_book.h"
+#include "rules/rule_registry.h"
 
 namespace applehall {
 
@@ -33,7 +33,7 @@
 
 // How one publication was judged.
 struct PublishOutcome {
-  RuleBook::Result result = RuleBook::Result::kStaleBase;
+  RuleRegistry::Result result = RuleRegistry::Result::kStaleBase;
   LogOffset offset = 0;
   // The version in force right after the record was judged.
   LogOffset version_after = 0;
@@ -71,7 +71,7 @@
   LogOffset next_offset() const { return next_offset_; }
   // False while compare-and-set records cannot be judged here.
   bool is_based() const { return is_based_; }
-  const RuleBook& rules() const { return rules_; }
+  const RuleRegistry& rules() const { return rules_; }
   const OwnershipTable& ownership() const { return ownership_; }
   // Contents of requests that end servers. Where the platform's store keeps
   // these, nothing.
@@ -91,7 +91,7 @@
   void Remember(const LogRecord& record);
   void RememberOutcome(const std::string& id, const PublishOutcome& outcome);
 
-  RuleBook rules_;
+  RuleRegistry rules_;
   void JudgeEnd(const LogRecord& record, const Json& body);
 
   OwnershipTable ownership_;
--- a/node/limit_keeper.cc
+++ b/node/limit_keeper.cc
@@ -174,7 +174,7 @@
             {kAsks, std::exchange(unsent_, Json::array())}};
   context_.Emit(SendPeer{owner_.host,
                          owner_.address,
-                         {PeerMessageType::kPermitAsk, std::move(body)}});
+                         {PeerMessageType::kPermitRequest, std::move(body)}});
 }
 
 void LimitKeeper::TakeAsks(const std::string& host, const Json& body) {
--- a/node/messages.h
+++ b/node/messages.h
@@ -21,7 +21,7 @@
 #include "placement/engine_types.h"
 #include "rules/rule.h"
 #include "rules/rule_checker.h"
-#include "rules/team_book.h"
+#include "rules/team_registry.h"
 
 namespace applehall {
 
@@ -148,7 +148,7 @@
   LogOffset version = 0;
   Json document;
   // The teams of the same version; null where there are none.
-  std::shared_ptr<const TeamBook> teams = nullptr;
+  std::shared_ptr<const TeamRegistry> teams = nullptr;
 };
 
 // News of the listed backend servers.
--- a/node/node.cc
+++ b/node/node.cc
@@ -122,7 +122,8 @@
   const absl::Status status =
       context_.control.InstallRules(event.version, event.document);
   if (status.ok() && is_newer) {
-    context_.teams = event.teams ? event.teams : std::make_shared<TeamBook>();
+    context_.teams =
+        event.teams ? event.teams : std::make_shared<TeamRegistry>();
   }
   if (!status.ok()) {
     context_.metrics.Count("rule_sets_rejected_total");
@@ -245,17 +246,17 @@
     case PeerMessageType::kStoreFollow:
       relay_.TakeFollow(event.host, body);
       return;
-    case PeerMessageType::kStoreNews:
+    case PeerMessageType::kStoreUpdates:
       relay_.TakeRelayed(event.host, body);
       fleet_.NoteOwner(StoreRelay::OwnerIn(body));
       return;
     case PeerMessageType::kQuotaUsage:
       quotas_.TakeCentreUsage(event.host, body);
       return;
-    case PeerMessageType::kQuotaWord:
+    case PeerMessageType::kQuotaShareUpdate:
       quotas_.TakeCentreWord(body);
       return;
-    case PeerMessageType::kPermitAsk:
+    case PeerMessageType::kPermitRequest:
       limits_.TakeAsks(event.host, body);
       return;
     case PeerMessageType::kPermitAnswer:
--- a/node/node_context.h
+++ b/node/node_context.h
@@ -37,7 +37,7 @@
   std::map<std::string, EngineClass> engine_classes;  // By service.
   ReplicaBoundsTable bounds;  // Of the rule set in force.
   // Of the same version; never null.
-  std::shared_ptr<const TeamBook> teams = std::make_shared<TeamBook>();
+  std::shared_ptr<const TeamRegistry> teams = std::make_shared<TeamRegistry>();
   Metrics metrics;
   Random random;
   DecisionLog decisions;
--- a/node/open_request.h
+++ b/node/open_request.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "node/messages.h"
-#include "rules/rule_book.h"
+#include "rules/rule_registry.h"
 
 namespace applehall {
 
--- a/node/quota_keeper.cc
+++ b/node/quota_keeper.cc
@@ -144,7 +144,7 @@
 }
 
 QuotaShares QuotaKeeper::Decide(QuotaLedger& ledger,
-                                std::shared_ptr<const TeamBook> teams) {
+                                std::shared_ptr<const TeamRegistry> teams) {
   ledger.SetTeams(std::move(teams), context_.now);
   ledger.TakeUsage(context_.settings.self.host, context_.settings.data_centre,
                    context_.settings.self.number, gate_.Usage(context_.now),
@@ -199,8 +199,8 @@
 }
 
 // The teams with their quotas cut down to this data centre's part.
-std::shared_ptr<const TeamBook> QuotaKeeper::CentreTeams() const {
-  auto teams = std::make_shared<TeamBook>();
+std::shared_ptr<const TeamRegistry> QuotaKeeper::CentreTeams() const {
+  auto teams = std::make_shared<TeamRegistry>();
   for (const auto& [name, whole] : context_.teams->teams()) {
     Team team = whole;
     const auto part = centre_parts_.find(name);
@@ -229,7 +229,7 @@
   context_.Emit(SendPeer{
       host,
       FieldOr<std::string>(body, kAddress, ""),
-      {PeerMessageType::kQuotaWord,
+      {PeerMessageType::kQuotaShareUpdate,
        Json{{kTeams, ShareRows(is_told ? shares_ : centre_shares_)}}}});
 }
 
--- a/node/quota_keeper.h
+++ b/node/quota_keeper.h
@@ -68,11 +68,11 @@
   bool HasQuotas() const;
   // The shares of all hosts that report to `ledger`, this one included.
   QuotaShares Decide(QuotaLedger& ledger,
-                     std::shared_ptr<const TeamBook> teams);
+                     std::shared_ptr<const TeamRegistry> teams);
   void RunOwner();
   void RunCentre(const PeerAddress& reader);
   void StandIn();
-  std::shared_ptr<const TeamBook> CentreTeams() const;
+  std::shared_ptr<const TeamRegistry> CentreTeams() const;
   void LogThrottled(const QuotaShares& shares) const;
 
   NodeContext& context_;
--- a/node/request_decider.cc
+++ b/node/request_decider.cc
@@ -66,7 +66,7 @@
 // one that pays: a key that no team holds, or no longer, is refused before the
 // request waits, counts or costs anything.
 std::optional<Refusal> RequestDecider::Authenticate(OpenRequest& request) {
-  const TeamBook& teams = *context_.teams;
+  const TeamRegistry& teams = *context_.teams;
   if (teams.is_empty()) return std::nullopt;
   RequestArrived& arrival = request.arrival;
   const Team* team =
@@ -92,7 +92,7 @@
   const Team* team =
       request.team ? context_.teams->Find(*request.team) : nullptr;
   if (team == nullptr || !team->quota.is_limited()) return std::nullopt;
-  const double cost = team->CostOf(request.arrival.declared_tokens);
+  const double cost = team->QuotaCost(request.arrival.declared_tokens);
   if (auto refusal = quotas_.Ask(*team, cost)) return refusal;
   request.quota_cost = cost;
   return std::nullopt;
--- a/node/store_relay.cc
+++ b/node/store_relay.cc
@@ -182,8 +182,9 @@
         Json::array({owner_.peer.host, owner_.peer.address, owner_.token});
   }
   if (news != nullptr) AddRecords(*news, follower, body);
-  context_.Emit(SendPeer{
-      host, follower.address, {PeerMessageType::kStoreNews, std::move(body)}});
+  context_.Emit(SendPeer{host,
+                         follower.address,
+                         {PeerMessageType::kStoreUpdates, std::move(body)}});
 }
 
 void StoreRelay::AddRecords(const Remembered& news, Follower& follower,
--- a/node/wait_policy.cc
+++ b/node/wait_policy.cc
@@ -50,9 +50,9 @@
 }
 
 TimePoint WaitPolicy::LastStart(const OpenRequest& request) {
-  const Duration patience = request.rule().then.patience;
-  if (patience == Duration::zero()) return request.deadline;
-  return std::min(request.deadline, request.arrived_at + patience);
+  const Duration max_start_wait = request.rule().then.max_start_wait;
+  if (max_start_wait == Duration::zero()) return request.deadline;
+  return std::min(request.deadline, request.arrived_at + max_start_wait);
 }
 
 // A request that waited longer would be late, in place of a fresh one that
--- a/placement/engine_owner.cc
+++ b/placement/engine_owner.cc
@@ -191,13 +191,13 @@
 
 ReplicaBounds EngineOwner::BoundsFor(const std::string& target,
                                      const PlacementPolicy& policy) const {
-  ReplicaBounds bounds = policy.bounds->For(target);
+  ReplicaBounds bounds = policy.bounds->FindBounds(target);
   // A base model may be wanted by its adapters only.
   for (const auto& [key, level] : demands_) {
     const auto it = policy.catalogue->find(level.demand.target);
     if (it == policy.catalogue->end() || it->second.base != target) continue;
-    bounds.most =
-        std::max(bounds.most, policy.bounds->For(level.demand.target).most);
+    bounds.most = std::max(bounds.most,
+                           policy.bounds->FindBounds(level.demand.target).most);
   }
   return bounds;
 }
@@ -262,7 +262,7 @@
     return std::any_of(demand.begin(), demand.end(),
                        [&](const auto& item) { return item.target == target; });
   };
-  for (const std::string& target : policy.bounds->KeptWarm()) {
+  for (const std::string& target : policy.bounds->AlwaysLoadedModels()) {
     if (is_there(target)) continue;
     TargetDemand standing;
     standing.target = target;
@@ -501,7 +501,7 @@
         idle_policy_.ChanceOfUse(name, idle, kEvictionHorizon) /
         static_cast<double>(std::max<uint64_t>(1, holding.bytes));
     // Models that rules keep warm go last.
-    if (Count(name).ready <= policy.bounds->For(name).least) cost += 1.0;
+    if (Count(name).ready <= policy.bounds->FindBounds(name).least) cost += 1.0;
     if (!victim.empty() && cost >= least) continue;
     victim = name;
     least = cost;
@@ -540,7 +540,7 @@
                              TimePoint now) const {
   if (settings_.keep_policy == KeepPolicy::kAlwaysWarm) return false;
   const TimePoint last = std::max(holding.last_used, holding.settled_at);
-  const ReplicaBounds bounds = policy.bounds->For(name);
+  const ReplicaBounds bounds = policy.bounds->FindBounds(name);
   const Duration idle = now - last;
   if (idle < kLeastResidency) return false;
   if (bounds.keep_warm > Duration::zero()) return idle >= bounds.keep_warm;
@@ -565,7 +565,7 @@
       if (!IsEvictable(engine, name, holding) || HasAdapters(engine, name)) {
         continue;
       }
-      if (Count(name).ready <= policy.bounds->For(name).least) continue;
+      if (Count(name).ready <= policy.bounds->FindBounds(name).least) continue;
       if (IsKeepOver(engine, name, holding, policy, now)) {
         leaving.push_back(name);
       }
--- a/rules/replica_bounds.cc
+++ b/rules/replica_bounds.cc
@@ -16,8 +16,8 @@
 ReplicaBoundsTable::ReplicaBoundsTable(const std::vector<Rule>& rules) {
   for (const Rule& rule : rules) {
     if (rule.then.refuse || !rule.when.services.empty()) continue;
-    const ReplicaBounds bounds{rule.then.least_replicas,
-                               rule.then.most_replicas, rule.then.keep_warm};
+    const ReplicaBounds bounds{rule.then.min_replicas, rule.then.max_replicas,
+                               rule.then.keep_warm};
     if (!rule.then.adapter.empty()) Widen(by_name_[rule.then.adapter], bounds);
     for (const std::string& model : rule.then.models) {
       Widen(by_name_[model], bounds);
@@ -36,7 +36,7 @@
   }
 }
 
-ReplicaBounds ReplicaBoundsTable::For(const std::string& model) const {
+ReplicaBounds ReplicaBoundsTable::FindBounds(const std::string& model) const {
   ReplicaBounds bounds;
   const auto it = by_name_.find(model);
   if (it != by_name_.end()) bounds = it->second;
@@ -46,7 +46,7 @@
   return bounds;
 }
 
-std::vector<std::string> ReplicaBoundsTable::KeptWarm() const {
+std::vector<std::string> ReplicaBoundsTable::AlwaysLoadedModels() const {
   std::vector<std::string> names;
   for (const auto& [name, bounds] : by_name_) {
     if (bounds.least > 0) names.push_back(name);
--- a/rules/replica_bounds.h
+++ b/rules/replica_bounds.h
@@ -27,9 +27,9 @@
 
   // Returns the bounds of `model`; zeros if no rule routes to it. Requires:
   // nothing. Thread-safe.
-  ReplicaBounds For(const std::string& model) const;
+  ReplicaBounds FindBounds(const std::string& model) const;
   // Returns the models with a minimum above zero, sorted by name. Thread-safe.
-  std::vector<std::string> KeptWarm() const;
+  std::vector<std::string> AlwaysLoadedModels() const;
 
  private:
   absl::flat_hash_map<std::string, ReplicaBounds> by_name_;
--- a/rules/rule.cc
+++ b/rules/rule.cc
@@ -60,8 +60,8 @@
   return local >= from || local < to;
 }
 
-std::string RuleCondition::Mismatch(const RequestFacts& request,
-                                    const SystemFacts& system) const {
+std::string RuleCondition::MismatchReason(const RequestFacts& request,
+                                          const SystemFacts& system) const {
   if (!AnyMatches(callers, request.caller)) return "caller differs";
   if (!AnyMatches(methods, request.method)) return "method differs";
   if (!AnyMatches(paths, request.path)) return "path differs";
@@ -93,7 +93,7 @@
 
 bool RuleCondition::Matches(const RequestFacts& request,
                             const SystemFacts& system) const {
-  return Mismatch(request, system).empty();
+  return MismatchReason(request, system).empty();
 }
 
 bool RuleCondition::Covers(const RuleCondition& other) const {
--- a/rules/rule.h
+++ b/rules/rule.h
@@ -60,8 +60,8 @@
   // The check is conservative: it may return false for a condition that covers.
   bool Covers(const RuleCondition& other) const;
   // Returns why `request` does not match; empty if it does.
-  std::string Mismatch(const RequestFacts& request,
-                       const SystemFacts& system) const;
+  std::string MismatchReason(const RequestFacts& request,
+                             const SystemFacts& system) const;
 };
 
 enum class WhileLogDown : uint8_t { kRefuse, kWait };
@@ -84,8 +84,8 @@
   int retries = 2;
   int queue_limit = 1000;
   Duration keep_warm{0};  // Zero: the learnt policy decides.
-  int least_replicas = 0;
-  int most_replicas = 1;
+  int min_replicas = 0;
+  int max_replicas = 1;
   std::vector<std::string> data_centres;  // Empty: all are allowed.
   WhileLogDown while_log_down = WhileLogDown::kRefuse;
   // Services whose backend servers may run the request; empty: the service that
@@ -95,7 +95,7 @@
   Duration target_latency{0};
   // Time after which a caller without a first piece of the answer disconnects,
   // even before the deadline; zero: the caller waits until the deadline.
-  Duration patience{0};
+  Duration max_start_wait{0};
   // Scheduling priority at an engine, 0 first; negative: the engine decides.
   int priority = -1;
   // A broken stream may resume at another engine after its last event.
--- a/rules/rule_checker.cc
+++ b/rules/rule_checker.cc
@@ -94,18 +94,18 @@
 
   // The minimum replicas of all rules must fit into memory together.
   void CheckWarmMemory() {
-    if (facts_.all_engine_bytes == 0) return;
+    if (facts_.total_engine_bytes == 0) return;
     uint64_t needed = 0;
     for (const Rule& rule : set_.rules) {
       for (const std::string& name : rule.then.models) {
         const auto it = catalogue_.find(name);
         if (it == catalogue_.end()) continue;
-        needed += it->second->bytes * rule.then.least_replicas;
+        needed += it->second->bytes * rule.then.min_replicas;
       }
-      if (needed <= facts_.all_engine_bytes) continue;
-      Error(rule.name,
-            absl::StrCat("least_replicas up to here need ", needed,
-                         " bytes, the engines have ", facts_.all_engine_bytes));
+      if (needed <= facts_.total_engine_bytes) continue;
+      Error(rule.name, absl::StrCat("least_replicas up to here need ", needed,
+                                    " bytes, the engines have ",
+                                    facts_.total_engine_bytes));
       return;
     }
   }
--- a/rules/rule_checker.h
+++ b/rules/rule_checker.h
@@ -37,7 +37,7 @@
 struct CheckFacts {
   Catalogue catalogue;
   uint64_t largest_engine_bytes = 0;
-  uint64_t all_engine_bytes = 0;
+  uint64_t total_engine_bytes = 0;
 };
 
 // Finds semantic errors in a well-formed set: duplicate names, shadowed rules,
--- a/rules/rule_explainer.cc
+++ b/rules/rule_explainer.cc
@@ -90,8 +90,8 @@
   }
   absl::StrAppend(&text, ", queue at most ", then.queue_limit);
   if (!is_service) {
-    absl::StrAppend(&text, ", keep ", then.least_replicas, " to ",
-                    then.most_replicas, " replicas");
+    absl::StrAppend(&text, ", keep ", then.min_replicas, " to ",
+                    then.max_replicas, " replicas");
   }
   if (then.keep_warm > Duration::zero()) {
     absl::StrAppend(&text, ", warm for ", FormatDuration(then.keep_warm));
@@ -109,9 +109,10 @@
     absl::StrAppend(&text, ", target latency ",
                     FormatDuration(then.target_latency));
   }
-  if (then.patience > Duration::zero()) {
+  if (then.max_start_wait > Duration::zero()) {
     absl::StrAppend(&text, ", callers wait at most ",
-                    FormatDuration(then.patience), " for the first piece");
+                    FormatDuration(then.max_start_wait),
+                    " for the first piece");
   }
   if (then.priority >= 0) absl::StrAppend(&text, ", priority ", then.priority);
   if (then.resumable)
--- a/rules/rule_book.cc
+++ b/rules/rule_registry.cc
@@ -1,4 +1,4 @@
-#include "rules/rule_book.h"
+#include "rules/rule_registry.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -160,7 +160,7 @@
   return delta;
 }
 
-RuleBook::Result RuleBook::Publish(LogOffset offset, const Json& body) {
+RuleRegistry::Result RuleRegistry::Publish(LogOffset offset, const Json& body) {
   if (FieldOr<uint64_t>(body, "base", 0) != version()) {
     return Result::kStaleBase;
   }
@@ -177,8 +177,8 @@
   return Result::kAccepted;
 }
 
-absl::Status RuleBook::Install(LogOffset snapshot_version,
-                               const Json& document) {
+absl::Status RuleRegistry::Install(LogOffset snapshot_version,
+                                   const Json& document) {
   // A snapshot may be older than the rules in force here if its writer was
   // paused or the peer lags. Versions never decrease.
   if (snapshot_version <= version()) return absl::OkStatus();
--- a/rules/rule_book.h
+++ b/rules/rule_registry.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_RULES_RULE_BOOK_H_
-#define APPLEHALL_RULES_RULE_BOOK_H_
+#ifndef APPLEHALL_RULES_RULE_REGISTRY_H_
+#define APPLEHALL_RULES_RULE_REGISTRY_H_
 
 #include <memory>
 #include <string>
@@ -44,7 +44,7 @@
 //
 // If two operators publish on the same base, the first in the log's order is
 // accepted and the other is rejected. The version only increases.
-class RuleBook {
+class RuleRegistry {
  public:
   enum class Result : uint8_t { kAccepted, kStaleBase, kInvalid };
 
@@ -68,4 +68,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_RULES_RULE_BOOK_H_
+#endif  // APPLEHALL_RULES_RULE_REGISTRY_H_
--- a/rules/rule_set_parser.cc
+++ b/rules/rule_set_parser.cc
@@ -246,16 +246,16 @@
       reader.Integer("queue_limit", then.queue_limit, 0, kMaxCount));
   then.keep_warm = std::chrono::milliseconds(
       reader.Integer("keep_warm_ms", 0, 0, kMaxMillis));
-  then.least_replicas =
+  then.min_replicas =
       static_cast<int>(reader.Integer("least_replicas", 0, 0, kMaxCount));
-  then.most_replicas = static_cast<int>(
-      reader.Integer("most_replicas", then.most_replicas, 0, kMaxCount));
+  then.max_replicas = static_cast<int>(
+      reader.Integer("most_replicas", then.max_replicas, 0, kMaxCount));
   then.data_centres = reader.Texts("data_centres");
   then.while_log_down = ParseWhileLogDown(reader);
   then.services = ParseServices(reader, rule, findings);
   then.target_latency = std::chrono::milliseconds(
       reader.Integer("target_latency_ms", 0, 0, kMaxMillis));
-  then.patience = std::chrono::milliseconds(
+  then.max_start_wait = std::chrono::milliseconds(
       reader.Integer("patience_ms", 0, 0, kMaxMillis));
   then.priority =
       static_cast<int>(reader.Integer("priority", -1, 0, kMaxPriority));
@@ -263,10 +263,10 @@
   then.needs_claim = reader.Flag("claim").value_or(true);
   then.is_public = reader.Flag("public").value_or(false);
   reader.RejectUnknown();
-  if (then.least_replicas > then.most_replicas) {
+  if (then.min_replicas > then.max_replicas) {
     reader.Fail(
         "least_replicas",
-        absl::StrCat("at most most_replicas, which is ", then.most_replicas));
+        absl::StrCat("at most most_replicas, which is ", then.max_replicas));
   }
   return then;
 }
--- a/rules/team_book.cc
+++ b/rules/team_registry.cc
@@ -1,25 +1,25 @@
-#include "rules/team_book.h"
+#include "rules/team_registry.h"
 
 #include <algorithm>
 
 namespace applehall {
 
-double Team::CostOf(std::optional<double> declared) const {
+double Team::QuotaCost(std::optional<double> declared) const {
   if (unit == QuotaUnit::kRequests) return 1;
   // No request is free, whatever its caller declares.
-  return std::max(1.0, declared.value_or(plain_tokens));
+  return std::max(1.0, declared.value_or(default_tokens));
 }
 
-void TeamBook::Add(Team team, const std::vector<std::string>& keys) {
+void TeamRegistry::Add(Team team, const std::vector<std::string>& keys) {
   for (const std::string& key : keys) {
-    const ApiKeyDigest digest = ApiKeyDigest::Of(key);
+    const ApiKeyDigest digest = ApiKeyDigest::FromKey(key);
     keys_by_prefix_.insert({digest.Prefix(), {digest, team.name}});
   }
   const std::string name = team.name;
   teams_[name] = std::move(team);
 }
 
-const Team* TeamBook::FindByKey(const ApiKeyDigest& key) const {
+const Team* TeamRegistry::FindByKey(const ApiKeyDigest& key) const {
   const auto [first, last] = keys_by_prefix_.equal_range(key.Prefix());
   for (auto it = first; it != last; ++it) {
     if (it->second.key == key) return Find(it->second.team);
@@ -27,7 +27,7 @@
   return nullptr;
 }
 
-const Team* TeamBook::Find(const std::string& name) const {
+const Team* TeamRegistry::Find(const std::string& name) const {
   const auto it = teams_.find(name);
   return it == teams_.end() ? nullptr : &it->second;
 }
--- a/rules/team_book.h
+++ b/rules/team_registry.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_RULES_TEAM_BOOK_H_
-#define APPLEHALL_RULES_TEAM_BOOK_H_
+#ifndef APPLEHALL_RULES_TEAM_REGISTRY_H_
+#define APPLEHALL_RULES_TEAM_REGISTRY_H_
 
 #include <map>
 #include <optional>
@@ -29,17 +29,17 @@
   int priority = -1;
   QuotaUnit unit = QuotaUnit::kRequests;
   // Tokens charged for a request that does not declare its tokens.
-  double plain_tokens = 1;
+  double default_tokens = 1;
   TeamQuota quota;
 
   // Returns the charge for a request that declares `declared` tokens, or none.
   // Requires: nothing. Thread-safe.
-  double CostOf(std::optional<double> declared) const;
+  double QuotaCost(std::optional<double> declared) const;
 };
 
 // The teams of one version of the configuration and their keys. Immutable after
 // construction.
-class TeamBook {
+class TeamRegistry {
  public:
   // Adds a team. As long as there are none, no request needs a key. Requires:
   // `keys` belong to no other team. Not thread-safe.
@@ -63,4 +63,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_RULES_TEAM_BOOK_H_
+#endif  // APPLEHALL_RULES_TEAM_REGISTRY_H_
--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -854,11 +854,11 @@
   for (const auto& [name, count] : replicas) {
     if (count <= 1 && truth_version_ > 0) continue;
     const std::string model = name.substr(name.find('/') + 1);
-    int most = truth_bounds_.For(model).most;
+    int most = truth_bounds_.FindBounds(model).most;
     for (const CatalogueEntry& entry : settings_.catalogue) {
       // A base model may be held for its adapters.
       if (entry.base != model) continue;
-      most = std::max(most, truth_bounds_.For(entry.name).most);
+      most = std::max(most, truth_bounds_.FindBounds(entry.name).most);
     }
     if (count > most) {
       Break(absl::StrCat("too many replicas: ", count, " of ", name));
--- a/tests/admission/quota_fixture.h
+++ b/tests/admission/quota_fixture.h
@@ -161,7 +161,7 @@
   };
 
   void PublishTeams() {
-    auto book = std::make_shared<TeamBook>();
+    auto book = std::make_shared<TeamRegistry>();
     for (const auto& [name, load] : teams_) book->Add(load.team, {});
     book_ = book;
   }
@@ -169,7 +169,7 @@
   void StartOwner() {
     ledger_ = std::make_unique<QuotaLedger>(QuotaLedger::Settings{
         .tolerance = tolerance_, .expected_hosts = static_cast<int>(size())});
-    ledger_->SetTeams(book_ ? book_ : std::make_shared<TeamBook>(), now_);
+    ledger_->SetTeams(book_ ? book_ : std::make_shared<TeamRegistry>(), now_);
     planned_at_ = {};
   }
 
@@ -239,7 +239,7 @@
   QuotaTolerance tolerance_;
   std::vector<Host> hosts_;
   std::map<std::string, Load> teams_;
-  std::shared_ptr<const TeamBook> book_;
+  std::shared_ptr<const TeamRegistry> book_;
   std::unique_ptr<QuotaLedger> ledger_;
   TimePoint owner_begins_;
   TimePoint planned_at_;
--- a/tests/claims/claim_guard_test.cc
+++ b/tests/claims/claim_guard_test.cc
@@ -49,7 +49,7 @@
 
   void Linger() { clock_.Advance(milliseconds(10)); }
 
-  PausedClock clock_{FromUnixMillis(1'800'000'000'000)};
+  ManualClock clock_{FromUnixMillis(1'800'000'000'000)};
   Random random_{1};
   FakeLog log_;
   ClaimGuard first_;
--- a/tests/node/fleet_test.cc
+++ b/tests/node/fleet_test.cc
@@ -147,7 +147,7 @@
                             .as_of = now_ - seconds(2)});
   ASSERT_EQ(pending_.size(), 1u);
   const auto& told = std::get<PeerMessageReceived>(pending_[0].second);
-  ASSERT_EQ(told.message.type, PeerMessageType::kStoreNews);
+  ASSERT_EQ(told.message.type, PeerMessageType::kStoreUpdates);
   EXPECT_GE(told.message.body["known"]["servers"][1].get<int64_t>(), 1'900'000);
 }
 
--- a/tests/node/limit_fleet.h
+++ b/tests/node/limit_fleet.h
@@ -253,7 +253,7 @@
     const Json& body = message.message.body;
     const std::string from = absl::StrCat("h", message.from);
     switch (message.message.type) {
-      case PeerMessageType::kPermitAsk:
+      case PeerMessageType::kPermitRequest:
         host.keeper->TakeAsks(from, body);
         break;
       case PeerMessageType::kPermitAnswer:
--- a/tests/node/news_fleet.h
+++ b/tests/node/news_fleet.h
@@ -299,7 +299,7 @@
     Enter(to, [&](Host& h) {
       if (message.type == PeerMessageType::kStoreFollow) {
         h.relay.TakeFollow(from, message.body);
-      } else if (message.type == PeerMessageType::kStoreNews) {
+      } else if (message.type == PeerMessageType::kStoreUpdates) {
         h.relay.TakeRelayed(from, message.body);
       }
     });
--- a/tests/node/node_failure_test.cc
+++ b/tests/node/node_failure_test.cc
@@ -428,7 +428,7 @@
   const auto& outcomes =
       deployment_->node("entry-1").context().control.outcomes();
   if (outcomes.contains(second)) {
-    EXPECT_EQ(outcomes.at(second).result, RuleBook::Result::kStaleBase);
+    EXPECT_EQ(outcomes.at(second).result, RuleRegistry::Result::kStaleBase);
   }
 }
 
--- a/tests/node/quota_centre_test.cc
+++ b/tests/node/quota_centre_test.cc
@@ -17,11 +17,11 @@
       Add((is_first ? "a" : "b") + std::to_string(i),
           is_first ? "hall-a" : "hall-b");
     }
-    auto book = std::make_shared<TeamBook>();
+    auto book = std::make_shared<TeamRegistry>();
     Team team;
     team.name = "studs";
     team.unit = QuotaUnit::kTokens;
-    team.plain_tokens = kCost;
+    team.default_tokens = kCost;
     team.quota = {kLimit, kLimit};
     book->Add(team, {"key"});
     for (const auto& [name, host] : hosts_) {
@@ -35,7 +35,7 @@
     request.handle = ++last_handle_;
     request.request_id = "r" + std::to_string(last_handle_);
     request.facts.path = "/once/x";
-    request.api_key = ApiKeyDigest::Of("key");
+    request.api_key = ApiKeyDigest::FromKey("key");
     Handle(host, request);
   }
 
--- a/tests/node/team_test.cc
+++ b/tests/node/team_test.cc
@@ -28,13 +28,13 @@
   void Install(LogOffset version,
                const std::map<std::string, std::string>& keys,
                double limit = 0) {
-    auto book = std::make_shared<TeamBook>();
+    auto book = std::make_shared<TeamRegistry>();
     for (const auto& [name, key] : keys) {
       Team team;
       team.name = name;
       team.priority = name == "studs" ? 0 : -1;
       team.unit = QuotaUnit::kTokens;
-      team.plain_tokens = 100;
+      team.default_tokens = 100;
       team.quota = {limit, limit};
       book->Add(team, {key});
     }
@@ -52,7 +52,7 @@
     request.facts.path = path;
     request.facts.caller = "anonymous";
     request.fingerprint = fingerprint;
-    if (!key.empty()) request.api_key = ApiKeyDigest::Of(key);
+    if (!key.empty()) request.api_key = ApiKeyDigest::FromKey(key);
     Handle(host, request);
   }
 
--- a/tests/platform/edge_test.cc
+++ b/tests/platform/edge_test.cc
@@ -160,7 +160,7 @@
   const RequestArrived& request =
       Ask("Authorization: Token secret-key\r\nx-TENANT: other\r\n"
           "X-Tenant: third\r\nConnection: X-Tenant\r\n");
-  EXPECT_EQ(request.api_key, ApiKeyDigest::Of("secret-key"));
+  EXPECT_EQ(request.api_key, ApiKeyDigest::FromKey("secret-key"));
   EXPECT_FALSE(request.facts.headers.contains("authorization"));
   team_ = "studs";
   Dispatch(request.handle);
@@ -196,7 +196,8 @@
     EXPECT_FALSE(request.api_key.has_value()) << header.substr(0, 40);
     events_.clear();
   }
-  EXPECT_EQ(Ask("Authorization: token ok\r\n").api_key, ApiKeyDigest::Of("ok"));
+  EXPECT_EQ(Ask("Authorization: token ok\r\n").api_key,
+            ApiKeyDigest::FromKey("ok"));
 }
 
 TEST_F(EdgeTest, DeclaredTokensAreSummedOrTakenAsNone) {
--- a/tests/platform/operator_config_test.cc
+++ b/tests/platform/operator_config_test.cc
@@ -2,8 +2,8 @@
 
 #include <gtest/gtest.h>
 
-#include "rules/rule_book.h"
 #include "rules/rule_explainer.h"
+#include "rules/rule_registry.h"
 
 namespace applehall {
 namespace {
@@ -49,7 +49,7 @@
   }
 
   OperatorConfig config_;
-  RuleBook book_;
+  RuleRegistry book_;
 };
 
 TEST_F(OperatorConfigTest, TeamsTheirKeysAndQuotasAreRead) {
@@ -62,15 +62,15 @@
     {"name": "agents", "api_keys": ["k3", 4]}])");
   const auto config = ReadOperatorConfig(json);
   ASSERT_TRUE(config.ok());
-  const TeamBook& teams = *config->rules.teams;
-  const Team* studs = teams.FindByKey(ApiKeyDigest::Of("k2"));
+  const TeamRegistry& teams = *config->rules.teams;
+  const Team* studs = teams.FindByKey(ApiKeyDigest::FromKey("k2"));
   ASSERT_NE(studs, nullptr);
   EXPECT_EQ(studs->name, "studs");
   EXPECT_EQ(studs->priority, 1);
   EXPECT_EQ(studs->quota.tokens_per_second, 181314);
   EXPECT_EQ(studs->quota.burst_tokens, 181000);
-  EXPECT_EQ(studs->CostOf(std::nullopt), 200);
-  const Team* agents = teams.FindByKey(ApiKeyDigest::Of("k3"));
+  EXPECT_EQ(studs->QuotaCost(std::nullopt), 200);
+  const Team* agents = teams.FindByKey(ApiKeyDigest::FromKey("k3"));
   ASSERT_NE(agents, nullptr);
   EXPECT_EQ(agents->priority, -1);
   EXPECT_FALSE(agents->quota.is_limited());
--- a/tests/rules/rule_set_test.cc
+++ b/tests/rules/rule_set_test.cc
@@ -1,8 +1,8 @@
 #include <gtest/gtest.h>
 
-#include "rules/rule_book.h"
 #include "rules/rule_checker.h"
 #include "rules/rule_explainer.h"
+#include "rules/rule_registry.h"
 #include "rules/rule_set_parser.h"
 #include "tests/node/test_rules.h"
 
@@ -81,7 +81,7 @@
   CheckFacts facts;
   facts.catalogue = {{"big", "", 9000}, {"small", "", 10}};
   facts.largest_engine_bytes = 5000;
-  facts.all_engine_bytes = 15;
+  facts.total_engine_bytes = 15;
   const Json rule{{"name", "x"},
                   {"when", {{"caller", "web"}}},
                   {"then",
@@ -116,7 +116,7 @@
 
 // A delta of one rule in a large set must be small and must restore exactly the
 // document that was published.
-TEST(RuleBookTest, DeltaRestoresThePublishedDocument) {
+TEST(RuleRegistryTest, DeltaRestoresThePublishedDocument) {
   std::vector<Json> rules;
   for (int i = 0; i < 500; ++i) {
     rules.push_back({{"name", "rule-" + std::to_string(i)},
@@ -128,37 +128,38 @@
   rules[200]["then"]["worth"] = 9999;
   rules.erase(rules.begin() + 201);
   const Json after = Document(rules);
-  RuleBook registry;
+  RuleRegistry registry;
   ASSERT_EQ(registry.Publish(5, Json{{"base", 0}, {"document", before}}),
-            RuleBook::Result::kAccepted);
+            RuleRegistry::Result::kAccepted);
   const Json delta = RuleSetDelta::Between(before, after).ToJson();
   EXPECT_LT(delta.dump().size(), 400u);
   ASSERT_EQ(registry.Publish(9, Json{{"base", 5}, {"delta", delta}}),
-            RuleBook::Result::kAccepted);
+            RuleRegistry::Result::kAccepted);
   EXPECT_EQ(registry.current()->Document(), after);
   EXPECT_EQ(registry.version(), 9u);
 }
 
 // Guards against a host that resumes from a pause and writes its old snapshot,
 // which would replace newer rules.
-TEST(RuleBookTest, OlderSnapshotIsIgnored) {
-  RuleBook registry;
+TEST(RuleRegistryTest, OlderSnapshotIsIgnored) {
+  RuleRegistry registry;
   registry.Publish(5, Json{{"base", 0}, {"document", TestRules("first")}});
   registry.Publish(8, Json{{"base", 5}, {"document", TestRules("second")}});
   EXPECT_TRUE(registry.Install(5, TestRules("first")).ok());
   EXPECT_EQ(registry.current()->set.name, "second");
 }
 
-TEST(RuleBookTest, InvalidDocumentsAreRejected) {
-  RuleBook registry;
+TEST(RuleRegistryTest, InvalidDocumentsAreRejected) {
+  RuleRegistry registry;
   EXPECT_EQ(
       registry.Publish(1, Json{{"base", 0}, {"document", {{"name", "n"}}}}),
-      RuleBook::Result::kInvalid);
-  EXPECT_EQ(registry.Publish(2, Json{{"base", 0}}), RuleBook::Result::kInvalid);
+      RuleRegistry::Result::kInvalid);
+  EXPECT_EQ(registry.Publish(2, Json{{"base", 0}}),
+            RuleRegistry::Result::kInvalid);
   EXPECT_EQ(
       registry.Publish(
           3, Json{{"base", 0}, {"document", Document({kCatchAll, kCatchAll})}}),
-      RuleBook::Result::kInvalid);
+      RuleRegistry::Result::kInvalid);
   EXPECT_EQ(registry.current(), nullptr);
 }
 
--- a/trial/trial_load.cc
+++ b/trial/trial_load.cc
@@ -271,7 +271,7 @@
   int over = 0;
   for (const auto& [name, count] : truth["most_replicas"].items()) {
     const std::string model = name.substr(name.find('/') + 1);
-    over += count.get<int>() > bounds.For(model).most;
+    over += count.get<int>() > bounds.FindBounds(model).most;
   }
   return over;
 }
