--- a/admission/host_presence.h
+++ b/admission/host_presence.h
@@ -10,11 +10,11 @@
 
 // A host goes by its own part when the owner's word is older: twice the longest
 // interval of the owner's plans.
-inline constexpr Duration kOwnerTrust = std::chrono::milliseconds(1000);
+inline constexpr Duration kOwnerContactTtl = std::chrono::milliseconds(1000);
 // As many as a host assumes that was never told. Of a fleet that lost all its
 // hosts at one moment each host keeps to one part of so many, or what was at
 // its bound gets it anew.
-inline constexpr int kAssumedHosts = 100;
+inline constexpr int kDefaultHostCount = 100;
 
 // Which hosts may be using their part of a bound that is shared by all hosts
 // without the owner's word: those that fell silent, and those that the owner
--- a/admission/permit_gate.cc
+++ b/admission/permit_gate.cc
@@ -29,10 +29,11 @@
   return true;
 }
 
-bool PermitGate::TryAlone(const std::string& server, double per_second,
-                          int hosts, double luck, TimePoint now) {
+bool PermitGate::TrySendIsolated(const std::string& server, double per_second,
+                                 int hosts, double luck, TimePoint now) {
   Server& state = servers_[server];
-  const double rate = kAloneShare * SendRate(per_second) / std::max(1, hosts);
+  const double rate =
+      kIsolatedShare * SendRate(per_second) / std::max(1, hosts);
   const bool is_first = state.credited_at == TimePoint{};
   const Duration since =
       is_first ? Duration{0}
--- a/admission/permit_gate.h
+++ b/admission/permit_gate.h
@@ -23,8 +23,8 @@
   // What a host may send builds up in fractions of a request, too few of them
   // to ever wait for a whole one. A request that comes takes what is there as
   // its chance, so that all hosts together send what their fractions sum to.
-  bool TryAlone(const std::string& server, double per_second, int hosts,
-                double luck, TimePoint now);
+  bool TrySendIsolated(const std::string& server, double per_second, int hosts,
+                       double luck, TimePoint now);
   // The server's limit is gone, or it is.
   void Forget(const std::string& server);
 
--- a/admission/permit_ledger.cc
+++ b/admission/permit_ledger.cc
@@ -21,7 +21,7 @@
 double PermitLedger::AskedPart(TimePoint now) const {
   const int known = std::max(1, presence_.Known(now));
   const int absent = presence_.Silent(now) + presence_.Missing(now);
-  return 1 - kAloneShare * std::min(absent, known) / known;
+  return 1 - kIsolatedShare * std::min(absent, known) / known;
 }
 
 void PermitLedger::Fill(Server& server, TimePoint now) {
@@ -51,7 +51,7 @@
   presence_.Note(host, now);
 }
 
-void PermitLedger::Ask(const PermitAsk& ask, TimePoint now) {
+void PermitLedger::Ask(const HostPermitRequest& ask, TimePoint now) {
   NoteHost(ask.host, now);
   const auto it = servers_.find(ask.server);
   if (it == servers_.end()) {
--- a/admission/permit_ledger.h
+++ b/admission/permit_ledger.h
@@ -15,7 +15,7 @@
 
 // Of what a limited server takes, that hosts use without an owner: less than
 // all, as each of them goes by chance and their sum varies.
-inline constexpr double kAloneShare = 0.5;
+inline constexpr double kIsolatedShare = 0.5;
 // A server that takes nothing is tried this often, a second; otherwise nobody
 // would learn that it takes requests again.
 inline constexpr double kTrialRate = 0.1;
@@ -26,7 +26,7 @@
 }
 
 // A host asks to send one request to a server that limits itself.
-struct PermitAsk {
+struct HostPermitRequest {
   std::string host;
   uint64_t id = 0;  // The host's own.
   std::string server;
@@ -62,7 +62,7 @@
   // A host can ask here, so it does not go by its own part.
   void NoteHost(const std::string& host, TimePoint now);
   // Answered at once or by a later Serve(); see TakeAnswers().
-  void Ask(const PermitAsk& ask, TimePoint now);
+  void Ask(const HostPermitRequest& ask, TimePoint now);
   // Grants what has become free and refuses what can no longer come in time.
   void Serve(TimePoint now);
   std::vector<PermitAnswer> TakeAnswers() {
@@ -73,7 +73,7 @@
 
  private:
   struct Waiting {
-    PermitAsk ask;
+    HostPermitRequest ask;
     TimePoint asked_at;
     TimePoint give_up_at;
   };
--- a/admission/quota_gate.cc
+++ b/admission/quota_gate.cc
@@ -41,20 +41,20 @@
   at = now;
 }
 
-bool QuotaGate::IsTold(TimePoint now) const {
+bool QuotaGate::HasFreshShares(TimePoint now) const {
   return split_ == QuotaSplit::kByDemand && told_at_ != TimePoint{} &&
-         now - told_at_ < kOwnerTrust;
+         now - told_at_ < kOwnerContactTtl;
 }
 
 QuotaGate::QuotaGate(QuotaTolerance tolerance, QuotaSplit split)
-    : tolerance_(tolerance), split_(split), hosts_(kAssumedHosts) {}
+    : tolerance_(tolerance), split_(split), hosts_(kDefaultHostCount) {}
 
 bool QuotaGate::IsToldByCentre(TimePoint now) const {
   return split_ == QuotaSplit::kByDemand && centre_told_at_ != TimePoint{} &&
-         now - centre_told_at_ < kOwnerTrust;
+         now - centre_told_at_ < kOwnerContactTtl;
 }
 
-void QuotaGate::TakeCentreShares(const QuotaShares& shares, TimePoint now) {
+void QuotaGate::ApplyCentreShares(const QuotaShares& shares, TimePoint now) {
   centre_told_at_ = now;
   for (auto& [name, state] : teams_) {
     const auto told = shares.find(name);
@@ -62,8 +62,8 @@
   }
 }
 
-void QuotaGate::TakeShares(const QuotaShares& shares, int hosts,
-                           TimePoint now) {
+void QuotaGate::ApplyShares(const QuotaShares& shares, int hosts,
+                            TimePoint now) {
   told_at_ = now;
   hosts_ = std::max(1, hosts);
   for (auto& [name, state] : teams_) {
@@ -102,7 +102,7 @@
   state.usual.Add(cost, kUsualSpan, now);
   Fill(team.quota, state, now);
   QuotaDecision decision;
-  if (IsTold(now)) {
+  if (HasFreshShares(now)) {
     decision = AskShared(state.told.share, luck);
   } else if (IsToldByCentre(now)) {
     decision = AskShared(state.centre_share, luck);
@@ -110,7 +110,7 @@
   } else {
     decision = AskAlone(state);
   }
-  if (told_at_ != TimePoint{}) decision.told_ago = now - told_at_;
+  if (told_at_ != TimePoint{}) decision.shares_age = now - told_at_;
   if (decision.is_admitted) {
     state.admitted += cost;
     state.bucket.level -= cost;
--- a/admission/quota_gate.h
+++ b/admission/quota_gate.h
@@ -43,7 +43,7 @@
   bool is_admitted = true;
   QuotaMode mode = QuotaMode::kUnlimited;
   double share = 1;         // That decided: of the requests, or of the quota.
-  Duration told_ago{0};     // How old the owner's word is.
+  Duration shares_age{0};   // How old the owner's word is.
   Duration retry_after{0};  // When there will be room; zero if admitted.
 };
 
@@ -59,12 +59,12 @@
   QuotaGate(QuotaTolerance tolerance, QuotaSplit split);
 
   // The owner's word, which `hosts` hosts are told. Not thread-safe.
-  void TakeShares(const QuotaShares& shares, int hosts, TimePoint now);
+  void ApplyShares(const QuotaShares& shares, int hosts, TimePoint now);
   // The word of a host that stands in for the owner in this data centre. Not
   // thread-safe.
-  void TakeCentreShares(const QuotaShares& shares, TimePoint now);
+  void ApplyCentreShares(const QuotaShares& shares, TimePoint now);
   // The owner's word is recent. Not thread-safe.
-  bool IsTold(TimePoint now) const;
+  bool HasFreshShares(TimePoint now) const;
   // Decides on a request that counts `cost`; `luck` is drawn evenly from 0 to
   // 1. Not thread-safe.
   QuotaDecision Ask(const Team& team, double cost, double luck, TimePoint now);
--- a/admission/quota_ledger.cc
+++ b/admission/quota_ledger.cc
@@ -35,10 +35,10 @@
   if (it != buckets_.end()) it->second.level -= tokens;
 }
 
-void QuotaLedger::TakeUsage(const std::string& host,
-                            const std::string& data_centre,
-                            uint64_t incarnation, const QuotaUsage& usage,
-                            TimePoint now) {
+void QuotaLedger::ApplyUsage(const std::string& host,
+                             const std::string& data_centre,
+                             uint64_t incarnation, const QuotaUsage& usage,
+                             TimePoint now) {
   Host& known = hosts_[host];
   const bool is_new = known.incarnation != incarnation;
   if (is_new) known = {};
--- a/admission/quota_ledger.h
+++ b/admission/quota_ledger.h
@@ -41,8 +41,8 @@
   // The teams in force. Not thread-safe.
   void SetTeams(std::shared_ptr<const TeamRegistry> teams, TimePoint now);
   // Counts of a process whose number differs start anew. Not thread-safe.
-  void TakeUsage(const std::string& host, const std::string& data_centre,
-                 uint64_t incarnation, const QuotaUsage& usage, TimePoint now);
+  void ApplyUsage(const std::string& host, const std::string& data_centre,
+                  uint64_t incarnation, const QuotaUsage& usage, TimePoint now);
   // Empty until the hosts have had time to report. Not thread-safe.
   QuotaShares Shares(TimePoint now);
   // As of the last call of Shares. Not thread-safe.
--- a/claims/claim_fold.cc
+++ b/claims/claim_fold.cc
@@ -108,7 +108,7 @@
 }
 
 TimePoint ClaimFold::Floor(TimePoint now) const {
-  return std::max(now - window_.kept, unread_before_ + window_.clock_skew);
+  return std::max(now - window_.retention, unread_before_ + window_.clock_skew);
 }
 
 ClaimFold::KeyStatus ClaimFold::Lookup(const std::string& key,
@@ -117,14 +117,14 @@
   const auto it = keys_.find(key);
   if (it != keys_.end()) return it->second.status;
   if (issued_at < Floor(now)) return KeyStatus::kTooOld;
-  if (issued_at > now + window_.clock_skew) return KeyStatus::kIssuedAhead;
+  if (issued_at > now + window_.clock_skew) return KeyStatus::kIssuedInFuture;
   return KeyStatus::kFree;
 }
 
 void ClaimFold::Prune(TimePoint now) {
   // Later than Floor() by more than any host's clock may lag, so that no host
   // forgets a key that another would still accept.
-  const TimePoint limit = now - window_.kept - 2 * window_.clock_skew;
+  const TimePoint limit = now - window_.retention - 2 * window_.clock_skew;
   while (!by_issue_.empty() && by_issue_.begin()->first < limit) {
     const auto oldest = by_issue_.begin();
     const auto it = keys_.find(oldest->second);
--- a/claims/claim_fold.h
+++ b/claims/claim_fold.h
@@ -34,7 +34,7 @@
 
 struct ClaimWindow {
   // A key older than this is refused, so it need not be remembered longer.
-  Duration kept = std::chrono::minutes(30);
+  Duration retention = std::chrono::minutes(30);
   // The most by which clocks of callers, hosts and log service differ.
   Duration clock_skew = std::chrono::seconds(5);
 };
@@ -64,7 +64,7 @@
     kRan,
     kMayHaveRun,
     kTooOld,
-    kIssuedAhead,
+    kIssuedInFuture,
   };
   // What is known of a key issued at `issued_at`. Not thread-safe.
   KeyStatus Lookup(const std::string& key, TimePoint issued_at,
--- a/claims/claim_guard.cc
+++ b/claims/claim_guard.cc
@@ -19,20 +19,21 @@
                       ++id_count_);
 }
 
-ClaimGuard::Standing ClaimGuard::Begin(RequestHandle handle,
-                                       const std::string& key, TimePoint now) {
+ClaimGuard::BeginResult ClaimGuard::Begin(RequestHandle handle,
+                                          const std::string& key,
+                                          TimePoint now) {
   const std::optional<TimePoint> issued = Uuid7Time(key);
-  if (!issued) return Standing::kKeyMalformed;
-  if (!fold_.is_read()) return Standing::kNotReady;
+  if (!issued) return BeginResult::kKeyMalformed;
+  if (!fold_.is_read()) return BeginResult::kNotReady;
   switch (fold_.Lookup(key, *issued, now)) {
     case ClaimFold::KeyStatus::kFree:
       break;
     case ClaimFold::KeyStatus::kTooOld:
-      return Standing::kKeyTooOld;
-    case ClaimFold::KeyStatus::kIssuedAhead:
-      return Standing::kKeyAhead;
+      return BeginResult::kKeyTooOld;
+    case ClaimFold::KeyStatus::kIssuedInFuture:
+      return BeginResult::kKeyInFuture;
     default:
-      return Standing::kDuplicate;
+      return BeginResult::kDuplicate;
   }
   Wish wish;
   wish.handle = handle;
@@ -40,7 +41,7 @@
   claim_of_[handle] = wish.claim.claim_id;
   wishes_[wish.claim.claim_id] = std::move(wish);
   if (!oldest_unwritten_) oldest_unwritten_ = now;
-  return Standing::kPending;
+  return BeginResult::kPending;
 }
 
 void ClaimGuard::Abandon(RequestHandle handle, TimePoint now) {
@@ -105,7 +106,8 @@
   ends_sent_.clear();
 }
 
-void ClaimGuard::AppendFailed(const std::string& record_id, TimePoint now) {
+void ClaimGuard::HandleAppendFailure(const std::string& record_id,
+                                     TimePoint now) {
   if (record_id != batch_id_ || batch_id_.empty()) return;
   batch_id_.clear();
   ends_.insert(ends_.begin(), ends_sent_.begin(), ends_sent_.end());
@@ -118,7 +120,7 @@
 std::optional<Json> ClaimGuard::NextRecord(TimePoint now) {
   if (!batch_id_.empty()) {
     if (now < batch_sent_at_ + settings_.append_timeout) return std::nullopt;
-    AppendFailed(std::string(batch_id_), now);
+    HandleAppendFailure(std::string(batch_id_), now);
   }
   if (!oldest_unwritten_ || now < *oldest_unwritten_ + settings_.linger) {
     return std::nullopt;
--- a/claims/claim_guard.h
+++ b/claims/claim_guard.h
@@ -31,12 +31,12 @@
   // No other process may ever have the same `self`: claim ids are made of it.
   ClaimGuard(Incarnation self, ClaimSettings settings);
 
-  enum class Standing : uint8_t {
+  enum class BeginResult : uint8_t {
     kPending,  // Wait for TakeGranted() or TakeRefused().
     kDuplicate,
     kKeyMalformed,
     kKeyTooOld,
-    kKeyAhead,
+    kKeyInFuture,
     kNotReady,  // The claims stream was not read yet.
   };
   struct ClaimResult {
@@ -45,7 +45,8 @@
   };
 
   // Starts a claim for `key`, a version 7 UUID. Not thread-safe.
-  Standing Begin(RequestHandle handle, const std::string& key, TimePoint now);
+  BeginResult Begin(RequestHandle handle, const std::string& key,
+                    TimePoint now);
   // The request was given up before it ran; nothing was sent. The claim is
   // given back wherever it stands. Not thread-safe.
   void Abandon(RequestHandle handle, TimePoint now);
@@ -54,7 +55,7 @@
   // Takes a batch of the claims stream. Not thread-safe.
   void Apply(const LogBatch& batch, TimePoint now);
   // An append failed for certain, or nobody knows. Not thread-safe.
-  void AppendFailed(const std::string& record_id, TimePoint now);
+  void HandleAppendFailure(const std::string& record_id, TimePoint now);
 
   // The record to append now, if one is due. Not thread-safe.
   std::optional<Json> NextRecord(TimePoint now);
--- a/drivers/backend_client.cc
+++ b/drivers/backend_client.cc
@@ -94,8 +94,8 @@
                    asio::detached);
   });
   if (is_posted) return;
-  (void)decisions_.TryPush(
-      EndOf(action, AttemptResult::kNotSent, "this host's queue is full"));
+  (void)decisions_.TryPush(MakeAttemptEnd(action, AttemptResult::kNotSent,
+                                          "this host's queue is full"));
 }
 
 void BackendClient::Cancel(RequestHandle handle, int attempt) {
@@ -156,14 +156,16 @@
 asio::awaitable<AttemptEnded> BackendClient::Attempt(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   if (session.is_closed()) {
-    co_return EndOf(action, AttemptResult::kNotSent, "the caller has left");
+    co_return MakeAttemptEnd(action, AttemptResult::kNotSent,
+                             "the caller has left");
   }
   co_await stream.Start();
   if (stream.state() == SendState::kNotSent) {
-    co_return EndOf(action, AttemptResult::kNotSent, stream.error());
+    co_return MakeAttemptEnd(action, AttemptResult::kNotSent, stream.error());
   }
   if (stream.state() == SendState::kMayBeSent) {
-    co_return BrokenOff(action, stream.error(), stream.is_cut());
+    co_return MakeBrokenAttemptEnd(action, stream.error(),
+                                   stream.is_closed_by_peer());
   }
   const auto type = stream.head().headers.find("content-type");
   const bool is_stream = type != stream.head().headers.end() &&
@@ -175,16 +177,17 @@
 asio::awaitable<AttemptEnded> BackendClient::PassWhole(
     const DispatchRequest& action, HttpStream& stream, CallerSession& session) {
   HttpResponse response = stream.head();
-  while (!stream.is_whole()) {
+  while (!stream.is_complete()) {
     const std::string piece = co_await stream.ReadSome(kStreamSilence);
     response.body += piece;
-    if (piece.empty() && !stream.is_whole()) {
-      co_return BrokenOff(action, stream.error(), stream.is_cut());
+    if (piece.empty() && !stream.is_complete()) {
+      co_return MakeBrokenAttemptEnd(action, stream.error(),
+                                     stream.is_closed_by_peer());
     }
   }
   if (MayBeRefusal(action.kind, response.status)) {
-    co_return EndOf(action, RefusalResult(response),
-                    absl::StrCat("status ", response.status));
+    co_return MakeAttemptEnd(action, RefusalResult(response),
+                             absl::StrCat("status ", response.status));
   }
   response.headers.erase("content-length");
   response.headers.erase("connection");
@@ -194,7 +197,7 @@
   part.response = std::move(response);
   part.rule = action.rule;
   session.Push(std::move(part));
-  co_return EndOf(action, AttemptResult::kCompleted, "");
+  co_return MakeAttemptEnd(action, AttemptResult::kCompleted, "");
 }
 
 asio::awaitable<AttemptEnded> BackendClient::PassStream(
@@ -211,20 +214,22 @@
   }
   const TimePoint begun_at = clock_.Now();
   std::string partial;
-  while (!stream.is_whole()) {
-    co_await session.AwaitRoom(thread_.io());
+  while (!stream.is_complete()) {
+    co_await session.AwaitFreeSpace(thread_.io());
     if (session.is_closed()) {
       stream.Cancel();
-      co_return EndOf(action, AttemptResult::kBroken, "the caller closed");
+      co_return MakeAttemptEnd(action, AttemptResult::kBroken,
+                               "the caller closed");
     }
     partial += co_await stream.ReadSome(kStreamSilence);
-    std::string events = TakeWholeEvents(partial);
+    std::string events = ExtractCompleteEvents(partial);
     if (!events.empty()) {
       session.delivered_events += CountEvents(events);
       session.PushChunk(std::move(events));
     }
-    if (stream.is_whole() || stream.error().empty()) continue;
-    AttemptEnded broken = BrokenOff(action, stream.error(), stream.is_cut());
+    if (stream.is_complete() || stream.error().empty()) continue;
+    AttemptEnded broken = MakeBrokenAttemptEnd(action, stream.error(),
+                                               stream.is_closed_by_peer());
     broken.answered_for = clock_.Now() - begun_at;
     broken.has_delivered = true;
     broken.can_resume = stream.head().headers.contains("applehall-can-resume");
@@ -232,7 +237,7 @@
   }
   if (!partial.empty()) session.PushChunk(std::move(partial));
   session.PushEnd();
-  co_return EndOf(action, AttemptResult::kCompleted, "");
+  co_return MakeAttemptEnd(action, AttemptResult::kCompleted, "");
 }
 
 void BackendClient::Probe(const ProbeServer& action) {
@@ -276,7 +281,7 @@
   if (!result.is_ok()) co_return;
   const absl::StatusOr<Json> body = ParseJson(result.response.body);
   if (!body.ok() || !body->is_object()) co_return;
-  EngineAnswered answered;
+  InventoryReceived answered;
   answered.inventory = Inventory::FromJson(*body, clock_.Now());
   answered.asked_at = asked_at;
   const Event event = std::move(answered);
--- a/drivers/caller_session.cc
+++ b/drivers/caller_session.cc
@@ -40,7 +40,8 @@
   co_return part;
 }
 
-asio::awaitable<void> CallerSession::AwaitRoom(asio::io_context& backend_io) {
+asio::awaitable<void> CallerSession::AwaitFreeSpace(
+    asio::io_context& backend_io) {
   while (is_full() && !is_closed()) {
     co_await Sleep(backend_io, kSlowCallerPause);
   }
@@ -67,14 +68,14 @@
   Push(std::move(part));
 }
 
-std::optional<TimePoint> CallerSession::left_at() const {
-  const TimePoint at = left_at_;
+std::optional<TimePoint> CallerSession::disconnected_at() const {
+  const TimePoint at = disconnected_at_;
   if (at == TimePoint{}) return std::nullopt;
   return at;
 }
 
-void CallerSession::CallerLeft(TimePoint now) {
-  left_at_ = now;
+void CallerSession::HandleDisconnect(TimePoint now) {
+  disconnected_at_ = now;
   Close();
   // Wakes whoever waits in Next(); a refusal is what it takes for the end.
   ReplyPart gone;
--- a/drivers/caller_session.h
+++ b/drivers/caller_session.h
@@ -50,13 +50,14 @@
   boost::asio::awaitable<ReplyPart> Next();
   // Waits until a slow caller has caught up, or closed. Thread: the backend's,
   // which runs `backend_io`.
-  boost::asio::awaitable<void> AwaitRoom(boost::asio::io_context& backend_io);
+  boost::asio::awaitable<void> AwaitFreeSpace(
+      boost::asio::io_context& backend_io);
   // The caller is gone or has its answer. Thread: the callers'.
   void Close() { is_closed_ = true; }
   // Close(), and whoever waits in Next() is told. Thread: the callers'.
-  void CallerLeft(TimePoint now);
+  void HandleDisconnect(TimePoint now);
   // When it did; nothing before. Thread-safe.
-  std::optional<TimePoint> left_at() const;
+  std::optional<TimePoint> disconnected_at() const;
 
   uint64_t handle() const { return handle_; }
   const HttpRequest& request() const { return request_; }
@@ -79,7 +80,7 @@
   std::deque<ReplyPart> parts_;
   std::atomic<size_t> bytes_waiting_{0};
   std::atomic<bool> is_closed_{false};
-  std::atomic<TimePoint> left_at_{TimePoint{}};
+  std::atomic<TimePoint> disconnected_at_{TimePoint{}};
 };
 
 }  // namespace applehall
--- a/drivers/event_stream.cc
+++ b/drivers/event_stream.cc
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-std::string TakeWholeEvents(std::string& partial) {
+std::string ExtractCompleteEvents(std::string& partial) {
   const size_t last = partial.rfind(kEventEnd);
   if (last == std::string::npos) return "";
   const size_t size = last + kEventEnd.size();
--- a/drivers/event_stream.h
+++ b/drivers/event_stream.h
@@ -9,7 +9,7 @@
 // Takes all whole server-sent events off the front of `partial`; what stays is
 // the start of one. Only whole events go on to a caller, so that a broken
 // stream can be resumed at one. Requires: nothing. Thread-safe.
-std::string TakeWholeEvents(std::string& partial);
+std::string ExtractCompleteEvents(std::string& partial);
 
 // How many events `events`, which are whole, are. Requires: nothing.
 // Thread-safe.
--- a/drivers/http_client.cc
+++ b/drivers/http_client.cc
@@ -100,7 +100,8 @@
     parser_.body_limit(boost::none);
   }
   ~BeastStream() override {
-    if (is_whole_ && parser_.keep_alive() && buffer_.size() == 0 && stream_) {
+    if (is_complete_ && parser_.keep_alive() && buffer_.size() == 0 &&
+        stream_) {
       const auto keep_alive = head_.headers.find("keep-alive");
       idle_->Give(
           address_, std::move(stream_),
@@ -111,11 +112,11 @@
 
   SendState state() const override { return state_; }
   const HttpResponse& head() const override { return head_; }
-  bool is_whole() const override { return is_whole_; }
+  bool is_complete() const override { return is_complete_; }
   std::string error() const override { return error_; }
-  bool is_cut() const override { return is_cut_; }
+  bool is_closed_by_peer() const override { return is_closed_by_peer_; }
   void Cancel() override {
-    is_whole_ = false;
+    is_complete_ = false;
     is_cancelled_ = true;
     if (stream_) stream_->close();
   }
@@ -130,11 +131,11 @@
       if (!error || error == http::error::need_buffer) continue;
       if (parser_.is_done()) break;
       error_ = error.message();
-      is_cut_ = IsPeerClose(error);
+      is_closed_by_peer_ = IsPeerClose(error);
       co_return piece;
     }
     if (parser_.is_done()) {
-      is_whole_ = true;
+      is_complete_ = true;
       if (stream_) stream_->expires_never();
     }
     co_return piece;
@@ -164,13 +165,13 @@
  private:
   // The part of `timeout` that the whole call still has.
   Duration Within(Duration timeout) const {
-    if (!call_.whole_timeout) return timeout;
-    const Duration left = begun_at_ + *call_.whole_timeout - clock_.Now();
+    if (!call_.total_timeout) return timeout;
+    const Duration left = begun_at_ + *call_.total_timeout - clock_.Now();
     return std::clamp(left, Duration{0}, timeout);
   }
   bool IsOver() const {
-    return call_.whole_timeout &&
-           clock_.Now() >= begun_at_ + *call_.whole_timeout;
+    return call_.total_timeout &&
+           clock_.Now() >= begun_at_ + *call_.total_timeout;
   }
 
   asio::awaitable<bool> Connect(asio::io_context& io, const HttpCall& call) {
@@ -214,7 +215,7 @@
         co_await http::async_write(*stream_, message, kToken);
     if (!error) co_return true;
     error_ = "cannot send: " + error.message();
-    is_cut_ = IsPeerClose(error);
+    is_closed_by_peer_ = IsPeerClose(error);
     co_return false;
   }
 
@@ -224,7 +225,7 @@
         co_await http::async_read_header(*stream_, buffer_, parser_, kToken);
     if (error) {
       error_ = "no answer: " + error.message();
-      is_cut_ = IsPeerClose(error);
+      is_closed_by_peer_ = IsPeerClose(error);
       co_return;
     }
     state_ = SendState::kAnswered;
@@ -248,9 +249,9 @@
   http::response_parser<http::string_body> parser_;
   SendState state_ = SendState::kNotSent;
   HttpResponse head_;
-  bool is_whole_ = false;
+  bool is_complete_ = false;
   bool is_cancelled_ = false;
-  bool is_cut_ = false;
+  bool is_closed_by_peer_ = false;
   std::string error_;
 };
 
@@ -282,10 +283,10 @@
   result.error = stream->error();
   if (result.state != SendState::kAnswered) co_return result;
   result.response = stream->head();
-  while (!stream->is_whole()) {
+  while (!stream->is_complete()) {
     const std::string piece = co_await stream->ReadSome(timeout);
     result.response.body += piece;
-    if (piece.empty() && !stream->is_whole()) {
+    if (piece.empty() && !stream->is_complete()) {
       result.state = SendState::kMayBeSent;
       result.error = stream->error();
       co_return result;
--- a/drivers/http_client.h
+++ b/drivers/http_client.h
@@ -31,12 +31,12 @@
   // the last call has returned. Thread: the client's.
   virtual boost::asio::awaitable<std::string> ReadSome(Duration timeout) = 0;
   // True if the body ended as the protocol says it must.
-  virtual bool is_whole() const = 0;
+  virtual bool is_complete() const = 0;
   // Ends what is under way and closes the connection. Thread: the client's.
   virtual void Cancel() = 0;
   virtual std::string error() const = 0;
   // The peer closed or reset the connection before the answer was whole.
-  virtual bool is_cut() const = 0;
+  virtual bool is_closed_by_peer() const = 0;
 };
 
 struct HttpCall {
@@ -50,7 +50,7 @@
   // From here to the head of the answer, at most; counts the time in which the
   // machine was suspended. Nothing is sent after it, and what was sent and not
   // yet received is taken back.
-  std::optional<Duration> whole_timeout = std::nullopt;
+  std::optional<Duration> total_timeout = std::nullopt;
 };
 
 struct HttpResult {
--- a/drivers/http_server.cc
+++ b/drivers/http_server.cc
@@ -91,8 +91,8 @@
   ~BeastExchange() override { watch_->Stop(); }
 
   const HttpRequest& request() const override { return request_; }
-  bool is_peer_gone() const override { return watch_->is_gone; }
-  void SetOnPeerGone(std::function<void()> callback) override {
+  bool is_peer_disconnected() const override { return watch_->is_gone; }
+  void SetOnPeerDisconnected(std::function<void()> callback) override {
     watch_->on_gone = std::move(callback);
   }
 
--- a/drivers/http_server.h
+++ b/drivers/http_server.h
@@ -30,10 +30,10 @@
 
   virtual const HttpRequest& request() const = 0;
   // True once the peer closed its side while the handler was at work.
-  virtual bool is_peer_gone() const = 0;
+  virtual bool is_peer_disconnected() const = 0;
   // Called at most once, when the peer closes before the response is done.
   // Requires: set before the first await. Thread: the server's.
-  virtual void SetOnPeerGone(std::function<void()> callback) = 0;
+  virtual void SetOnPeerDisconnected(std::function<void()> callback) = 0;
 
   // Each is false if the peer is gone or too slow. Requires: either one
   // Respond(), or BeginStream(), any number of Write() and EndStream().
--- a/drivers/platform_client.cc
+++ b/drivers/platform_client.cc
@@ -124,14 +124,14 @@
     std::optional<LogBatch> batch;
     if (result.is_ok()) batch = ParseLogBatch(stream, result.response.body);
     if (!batch) {
-      const Event failed = LogFailed{};
+      const Event failed = LogUnavailable{};
       co_await Deliver(failed);
       co_await Sleep(thread_.io(), kRetryInterval);
       continue;
     }
     from = std::max(from, batch->first_offset);
     if (!batch->records.empty()) from = batch->records.back().offset + 1;
-    const Event read = LogRead{*std::move(batch)};
+    const Event read = LogBatchRead{*std::move(batch)};
     co_await Deliver(read);
   }
 }
@@ -192,7 +192,7 @@
       MakeCall(addresses_.log, "POST", target, action.payload, kAppendTimeout);
   const HttpResult result = co_await client_.Fetch(call);
   if (!result.is_ok()) {
-    const Event failed = LogFailed{};
+    const Event failed = LogUnavailable{};
     co_await Deliver(failed);
   }
   const Event ended = AppendEnded{action.record_id, result.is_ok()};
--- a/drivers/websocket_link.cc
+++ b/drivers/websocket_link.cc
@@ -98,7 +98,7 @@
 
   void Send(const std::string& host, const std::string& address,
             std::vector<uint8_t> bytes) {
-    if (queued_ >= settings_.most_queued_messages) {
+    if (queued_ >= settings_.max_queued_messages) {
       // The link thread is behind; what is lost is sent anew by its sender.
       ++dropped_;
       return;
@@ -137,7 +137,7 @@
     endpoint.clear_access_channels(websocketpp::log::alevel::all);
     endpoint.clear_error_channels(websocketpp::log::elevel::all);
     endpoint.init_asio(&io_);
-    endpoint.set_max_message_size(settings_.most_message_bytes);
+    endpoint.set_max_message_size(settings_.max_message_bytes);
     endpoint.set_open_handshake_timeout(settings_.dial_timeout_ms);
     endpoint.set_close_handshake_timeout(settings_.dial_timeout_ms);
     endpoint.set_message_handler([this](Handle h, auto message) {
@@ -161,7 +161,7 @@
       ++dropped_;
       return;
     }
-    if (dialling->waiting.size() >= settings_.most_queued_messages) {
+    if (dialling->waiting.size() >= settings_.max_queued_messages) {
       dialling->waiting.pop_front();
       ++dropped_;
     }
@@ -169,7 +169,7 @@
   }
 
   LinkPtr Dial(const std::string& host, const std::string& address) {
-    if (links_.size() >= settings_.most_links) return nullptr;
+    if (links_.size() >= settings_.max_links) return nullptr;
     websocketpp::lib::error_code error;
     auto connection =
         client_.get_connection("ws://" + address + "/peer", error);
@@ -188,7 +188,7 @@
   void Opened(Handle handle, const std::string& host, bool is_outgoing) {
     LinkPtr& link = links_[handle];
     if (!link) {
-      if (links_.size() > settings_.most_links) {
+      if (links_.size() > settings_.max_links) {
         links_.erase(handle);
         ++rejected_;
         CloseHandle(handle, is_outgoing);
@@ -310,7 +310,7 @@
     if (error) return;
     // A peer that is cut off takes nothing, while TCP still counts the link as
     // open; what is queued for it must not grow.
-    if (connection->get_buffered_amount() > settings_.most_message_bytes) {
+    if (connection->get_buffered_amount() > settings_.max_message_bytes) {
       error = websocketpp::error::make_error_code(
           websocketpp::error::send_queue_full);
       return;
--- a/drivers/websocket_link.h
+++ b/drivers/websocket_link.h
@@ -18,9 +18,9 @@
   uint16_t listen_port = 0;
   std::string self;
   std::string shared_key;
-  std::size_t most_links = 128;
-  std::size_t most_queued_messages = 256;
-  std::size_t most_message_bytes = 4 * 1024 * 1024;
+  std::size_t max_links = 128;
+  std::size_t max_queued_messages = 256;
+  std::size_t max_message_bytes = 4 * 1024 * 1024;
   long dial_timeout_ms = 2000;
 };
 
--- a/main/daemon.cc
+++ b/main/daemon.cc
@@ -273,7 +273,7 @@
 
 void Daemon::On(const DispatchRequest& action) {
   std::shared_ptr<CallerSession> session = FindSession(action.handle);
-  // The caller left a moment ago; its CallerGone is on the way here.
+  // The caller left a moment ago; its CallerDisconnected is on the way here.
   if (!session) return;
   backends_.Dispatch(action, std::move(session));
 }
@@ -368,9 +368,9 @@
     const std::lock_guard<std::mutex> lock(sessions_mutex_);
     sessions_[handle] = session;
   }
-  exchange.SetOnPeerGone([this, session, handle] {
-    session->CallerLeft(SystemClock().Now());
-    (void)decisions_.TryPush(CallerGone{handle});
+  exchange.SetOnPeerDisconnected([this, session, handle] {
+    session->HandleDisconnect(SystemClock().Now());
+    (void)decisions_.TryPush(CallerDisconnected{handle});
   });
   if (decisions_.TryPush(std::move(event))) {
     co_await PassAnswer(exchange, *session, request_id);
@@ -387,7 +387,7 @@
                                          const std::string& request_id) {
   bool has_begun = false;
   bool is_ok = true;
-  while (is_ok && !exchange.is_peer_gone()) {
+  while (is_ok && !exchange.is_peer_disconnected()) {
     ReplyPart part = co_await session.Next();
     switch (part.kind) {
       case ReplyPart::Kind::kWhole: {
@@ -410,7 +410,7 @@
         co_await exchange.EndStream();
         co_return;
       case ReplyPart::Kind::kRefusal:
-        if (exchange.is_peer_gone()) co_return;
+        if (exchange.is_peer_disconnected()) co_return;
         if (has_begun) {
           // The head is out: an error event, and no proper end, tell the
           // caller that its answer is not whole.
@@ -426,8 +426,8 @@
         co_return;
     }
   }
-  if (!exchange.is_peer_gone()) {
-    (void)decisions_.TryPush(CallerGone{session.handle()});
+  if (!exchange.is_peer_disconnected()) {
+    (void)decisions_.TryPush(CallerDisconnected{session.handle()});
   }
 }
 
--- a/main/daemon.h
+++ b/main/daemon.h
@@ -64,8 +64,8 @@
   // Only fleets have a lease; this platform has groups.
   void On(const ReadLease&) {}
   void On(const AppendLease&) {}
-  void On(const FollowStore&) {}
-  void On(const TakeStoreNews&) {}
+  void On(const SetStorePolling&) {}
+  void On(const ApplyStoreUpdates&) {}
   void On(const ReadQuarantine&) {}
   void On(const AppendQuarantine&) {}
 
--- a/main/daemon_settings.cc
+++ b/main/daemon_settings.cc
@@ -48,9 +48,9 @@
   limits.write_timeout = reader.MillisOr("write_timeout_ms", seconds(30),
                                          milliseconds(10), minutes(10));
   NodeSettings& node = settings.node;
-  node.most_requests =
+  node.max_open_requests =
       static_cast<size_t>(reader.IntegerOr("requests", 20000, 1, 1000000));
-  node.most_in_flight_per_caller = static_cast<size_t>(
+  node.max_in_flight_per_caller = static_cast<size_t>(
       reader.IntegerOr("requests_per_caller", 2000, 1, 1000000));
   node.decisions_kept =
       static_cast<size_t>(reader.IntegerOr("decisions_kept", 2000, 1, 1000000));
@@ -73,14 +73,14 @@
       "gossip_interval_ms", milliseconds(500), milliseconds(10), minutes(1));
   node.claims.linger = reader.MillisOr("claim_linger_ms", milliseconds(5),
                                        milliseconds(0), seconds(10));
-  node.claims.window.kept =
+  node.claims.window.retention =
       reader.MillisOr("key_window_ms", minutes(30), seconds(1), hours(24));
   node.claims.window.clock_skew = reader.MillisOr("clock_skew_ms", seconds(5),
                                                   milliseconds(0), minutes(10));
-  node.carry_after =
+  node.max_snapshot_age =
       reader.MillisOr("carry_after_ms", minutes(10), seconds(1), hours(240));
-  node.drain_bound = reader.MillisOr("drain_bound_ms", seconds(60),
-                                     milliseconds(100), hours(2));
+  node.max_drain = reader.MillisOr("drain_bound_ms", seconds(60),
+                                   milliseconds(100), hours(2));
   node.log_down_after = reader.MillisOr("log_down_after_ms", seconds(2),
                                         milliseconds(100), minutes(10));
   return reader.Finish();
--- a/main/operator_commands.cc
+++ b/main/operator_commands.cc
@@ -14,7 +14,7 @@
 #include "core/uuid.h"
 #include "drivers/http_client.h"
 #include "drivers/platform_client.h"
-#include "main/request_story.h"
+#include "main/request_timeline.h"
 #include "node/control_fold.h"
 #include "rules/rule_checker.h"
 #include "rules/rule_explainer.h"
--- a/main/request_story.h
+++ b/main/request_timeline.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_MAIN_REQUEST_STORY_H_
-#define APPLEHALL_MAIN_REQUEST_STORY_H_
+#ifndef APPLEHALL_MAIN_REQUEST_TIMELINE_H_
+#define APPLEHALL_MAIN_REQUEST_TIMELINE_H_
 
 #include <istream>
 #include <map>
@@ -45,4 +45,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_MAIN_REQUEST_STORY_H_
+#endif  // APPLEHALL_MAIN_REQUEST_TIMELINE_H_
--- a/measure/experiment.cc
+++ b/measure/experiment.cc
@@ -47,27 +47,30 @@
 
 const std::map<std::string, Fault>& Faults() {
   static const auto* const kFaults = new std::map<std::string, Fault>{
-      {"log-down", [](Deployment& d, bool begins) { d.SetLogDown(begins); }},
+      {"log-down",
+       [](Deployment& d, bool begins) { d.SetLogUnavailable(begins); }},
       {"log-slow",
        [](Deployment& d, bool begins) {
-         d.SetLogSlow(begins ? milliseconds(800) : milliseconds(0));
+         d.SetLogDelay(begins ? milliseconds(800) : milliseconds(0));
        }},
       {"append-answer-lost",
        [](Deployment& d, bool begins) {
-         d.LoseAppendAnswers(begins ? 50 : 0);
+         d.LoseAppendResponses(begins ? 50 : 0);
        }},
       {"store-slow",
-       [](Deployment& d, bool begins) { d.SetStoreSlow(begins ? 6.0 : 1.0); }},
+       [](Deployment& d, bool begins) {
+         d.SetStoreSlowdown(begins ? 6.0 : 1.0);
+       }},
       {"host-killed-in-load",
        [](Deployment& d, bool begins) {
          if (begins) {
            const std::string owner = OwnerIn(d);
            d.KillHost(owner);
-           d.ListGone(owner);
+           d.RemoveFromHostList(owner);
            return;
          }
          for (const std::string& host : d.HostNames()) {
-           if (!d.IsAlive(host)) d.ReviveHost(host);
+           if (!d.IsAlive(host)) d.RestartHost(host);
          }
        }},
       {"owner-paused",
@@ -81,17 +84,17 @@
       {"data-centre-cut",
        [](Deployment& d, bool begins) {
          const Node& node = d.node(d.HostNames().front());
-         d.CutDataCentre(node.context().settings.data_centre, begins);
+         d.PartitionDataCentre(node.context().settings.data_centre, begins);
        }},
       {"hosts-reclaimed",
        [](Deployment& d, bool begins) {
          const std::vector<std::string> hosts = d.HostNames();
          for (size_t i = 0; i < hosts.size(); i += 2) {
            if (begins && d.IsAlive(hosts[i])) {
-             d.ListLeaving(hosts[i]);
+             d.MarkLeaving(hosts[i]);
              d.DrainHost(hosts[i]);
            }
-           if (!begins && !d.IsAlive(hosts[i])) d.ReviveHost(hosts[i]);
+           if (!begins && !d.IsAlive(hosts[i])) d.RestartHost(hosts[i]);
          }
        }},
       {"publish-race",
@@ -115,7 +118,7 @@
        [](Deployment& d, bool begins) {
          size_t index = 0;
          for (const auto& [name, engine] : d.engines()) {
-           if (index++ % 2 == 0) d.FailEngine(name, begins);
+           if (index++ % 2 == 0) d.SetEngineFailing(name, begins);
          }
        }},
   };
@@ -213,7 +216,7 @@
   void SendOne(const Arrival& arrival) {
     const std::string host = PickHost(*deployment_, arrival.host);
     Sent sent;
-    sent.was_cold = !deployment_->IsWarm(host, arrival.model);
+    sent.was_cold = !deployment_->HasReadyReplica(host, arrival.model);
     sent.id = deployment_->Send(host, arrival.model, arrival.caller,
                                 arrival.deadline);
     sent_.push_back(sent);
@@ -256,9 +259,9 @@
     result.cold_p99 = Quantile(colds, 0.99);
     result.cold_max = Quantile(colds, 1.0);
     result.idle_hours = deployment_->idle_engine_seconds() / 3600.0;
-    result.loads = deployment_->loads_decided();
+    result.loads = deployment_->total_loads();
     result.store_wait = ToSeconds(deployment_->store().total_wait());
-    result.broken = deployment_->broken_promises();
+    result.broken = deployment_->violations();
     return result;
   }
 
--- a/node/control_fold.cc
+++ b/node/control_fold.cc
@@ -135,8 +135,8 @@
     }
     const CrashLedger::Finding finding = crashes_.Record(end, record.time);
     if (finding != CrashLedger::Finding::kProven) continue;
-    crashes_.Convict(end.fingerprint, record.time);
-    quarantine_.Add(end.fingerprint, record.time + kQuarantineLife);
+    crashes_.MarkProven(end.fingerprint, record.time);
+    quarantine_.Add(end.fingerprint, record.time + kQuarantineTtl);
   }
 }
 
--- a/node/fleet_keeper.cc
+++ b/node/fleet_manager.cc
@@ -1,11 +1,10 @@
-#include "node/fleet_keeper.h"
-
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
 
 #include "core/event_log.h"
 #include "core/hash.h"
+#include "node/fleet_manager.h"
 
 namespace applehall {
 namespace {
@@ -60,7 +59,7 @@
 
 }  // namespace
 
-bool FleetKeeper::OffersService(const std::string& service) const {
+bool FleetManager::OffersService(const std::string& service) const {
   return std::any_of(servers_.begin(), servers_.end(), [&](const auto& item) {
     return item.second.service == service;
   });
@@ -68,7 +67,7 @@
 
 // ---- Listing ----
 
-void FleetKeeper::TakeServers(const ServersListed& event) {
+void FleetManager::HandleServerList(const ServerListRead& event) {
   if (servers_.empty() && !event.listed.empty()) lease_.NoteListed();
   std::vector<std::string> gone = event.gone;
   if (event.is_whole) {
@@ -104,8 +103,8 @@
   }
   // While the store is away listings lapse for live servers too; they are
   // back soon after it, and work would be turned away for nothing until then.
-  const bool was_away =
-      context_.IsLogDown() || context_.now - context_.log_back_at < kRelisting;
+  const bool was_away = context_.IsLogDown() ||
+                        context_.now - context_.log_recovered_at < kRelisting;
   for (const std::string& id : gone) {
     if (!servers_.contains(id)) continue;
     if (was_away) {
@@ -121,7 +120,7 @@
 // that started again under its id holds nothing and knows nothing of what is
 // under way: what was known of it is dropped first, or its counts of requests,
 // its failures and the models of its earlier life would be believed in.
-bool FleetKeeper::IsLaterLife(const ListedServer& server) {
+bool FleetManager::IsLaterLife(const ListedServer& server) {
   const auto known = servers_.find(server.id);
   if (known == servers_.end()) return true;
   const TimePoint before = known->second.started_at;
@@ -134,11 +133,11 @@
   return true;
 }
 
-void FleetKeeper::DropDeparted() {
+void FleetManager::DropDeparted() {
   // Counted from the store's return: a server that leaves in the two seconds
   // after it must be left as fast as at any other time.
   if (departing_.empty() || context_.IsLogDown() ||
-      context_.now - context_.log_back_at < kRelisting) {
+      context_.now - context_.log_recovered_at < kRelisting) {
     return;
   }
   const std::set<std::string> due = std::move(departing_);
@@ -147,7 +146,7 @@
   if (planner_) planner_->SetServers(servers_, context_.now);
 }
 
-void FleetKeeper::Forget(const std::string& id) {
+void FleetManager::Forget(const std::string& id) {
   servers_.erase(id);
   departing_.erase(id);
   announced_.erase(id);
@@ -157,7 +156,7 @@
   LogEvent(LogLevel::kInfo, "server_gone").With("server", id);
 }
 
-void FleetKeeper::Apply(const std::string& id) {
+void FleetManager::Apply(const std::string& id) {
   const auto it = servers_.find(id);
   if (it == servers_.end()) return;
   const ListedServer& server = it->second;
@@ -186,17 +185,17 @@
   context_.view.SetLeaving(id, server.is_leaving);
 }
 
-void FleetKeeper::CatalogueChanged() {
+void FleetManager::HandleCatalogueChange() {
   if (!planner_) return;
   planner_->SetCatalogue(&context_.catalogue, &context_.engine_classes);
 }
 
-void FleetKeeper::TakeInventory(const Inventory& inventory,
-                                TimePoint asked_at) {
+void FleetManager::TakeInventory(const Inventory& inventory,
+                                 TimePoint asked_at) {
   if (planner_) planner_->TakeInventory(inventory, asked_at, context_.now);
 }
 
-void FleetKeeper::TakeOrderResult(const OrderAnswered& event) {
+void FleetManager::TakeOrderResult(const OrderAnswered& event) {
   if (!planner_) return;
   planner_->TakeOrderResult(event.engine, event.order_id, event.result,
                             context_.now);
@@ -205,25 +204,25 @@
 
 // ---- Lease ----
 
-void FleetKeeper::TakeLease(const LeaseRead& event) {
+void FleetManager::HandleLeaseRead(const LeaseRead& event) {
   const PlacementLease::Change change = lease_.TakeRead(event);
   if (change == PlacementLease::Change::kNone) return;
   StopPlanning();
   if (change == PlacementLease::Change::kGained) StartPlanning();
 }
 
-void FleetKeeper::TakeAppendEnd(const LeaseAppendEnded&) {
+void FleetManager::TakeAppendEnd(const LeaseAppendEnded&) {
   lease_.TakeAppendEnd();
 }
 
-void FleetKeeper::StartPlanning() {
+void FleetManager::StartPlanning() {
   planner_ = std::make_unique<FleetPlanner>(
       context_.settings.self, lease_.token(), context_.settings.policies);
   planner_->SetCatalogue(&context_.catalogue, &context_.engine_classes);
   planner_->SetServers(servers_, context_.now);
   applied_.clear();
   told_.clear();
-  quarantine_.RestartRows(last_news_);
+  quarantine_.RenumberRows(last_news_);
   quotas_.StartPlanning();
   limits_.StartPlanning(last_news_);
   readers_.Restart(context_.now);
@@ -234,30 +233,30 @@
   // It cannot read whom to report to; the first plan tells it.
   FleetPeer& before = peers_[resigned_.host];
   before.address = resigned_.address;
-  before.heard_at = context_.now;
+  before.last_report_at = context_.now;
   resigned_ = {};
 }
 
-void FleetKeeper::StopPlanning() {
+void FleetManager::StopPlanning() {
   planner_.reset();
   quotas_.StopPlanning();
   limits_.StopPlanning();
   peers_.clear();
 }
 
-bool FleetKeeper::IsHandingOver() const {
+bool FleetManager::IsHandingOver() const {
   const bool may_give_up = context_.settings.policies.Has(Policy::kHandOver);
   if (!may_give_up || !lease_.IsUnproven()) return false;
   return std::any_of(peers_.begin(), peers_.end(), [this](const auto& item) {
     return item.second.can_read_store &&
-           context_.now - item.second.heard_at <= kReaderSilence;
+           context_.now - item.second.last_report_at <= kMaxReaderSilence;
   });
 }
 
 // Gives the lease up where this host must not go on, once nothing that it
 // ordered is open.
-void FleetKeeper::HandOver() {
-  if (!planner_ || !planner_->IsQuiet()) return;
+void FleetManager::HandOver() {
+  if (!planner_ || !planner_->IsIdle()) return;
   if (context_.is_draining) {
     SayResigned();
     lease_.Release();
@@ -276,7 +275,7 @@
 
 // Others would learn of a released lease only once the owner was silent for
 // 1.3 s: without a word of it each planned restart of the owner cost that long.
-void FleetKeeper::SayResigned() {
+void FleetManager::SayResigned() {
   const Json body{{"k", lease_.token()},
                   {"x", true},
                   {"p", context_.settings.peer_address}};
@@ -288,17 +287,17 @@
 
 // ---- Planning and messages ----
 
-void FleetKeeper::RecordArrival(const std::string& target, double worth) {
+void FleetManager::RecordArrival(const std::string& target, double worth) {
   auto& [count, sum] = arrivals_[target];
   ++count;
   sum += worth;
 }
 
-void FleetKeeper::SetWaiting(const Demand& demand) {
+void FleetManager::SetDemand(const Demand& demand) {
   waiting_[demand.target] = demand;
 }
 
-HostReport FleetKeeper::MakeReport() {
+HostReport FleetManager::MakeReport() {
   HostReport report;
   report.host = context_.settings.self.host;
   for (const auto& [target, demand] : waiting_) {
@@ -320,14 +319,14 @@
   return report;
 }
 
-bool FleetKeeper::HasNewWaiting() const {
+bool FleetManager::HasNewWaiting() const {
   return std::any_of(waiting_.begin(), waiting_.end(),
                      [this](const auto& item) {
                        return !reported_waiting_.contains(item.first);
                      });
 }
 
-void FleetKeeper::ReportToOwner() {
+void FleetManager::ReportToOwner() {
   const PeerAddress owner = lease_.Owner();
   if (owner.host.empty()) return;
   const bool has_news =
@@ -339,9 +338,9 @@
   body["d"] = context_.settings.data_centre;
   body["c"] = context_.settings.cpu_share;
   const double link = context_.settings.link_mbps;
-  if (link > 0 && link < kReaderLink) body["b"] = link;
+  if (link > 0 && link < kWideLinkMbps) body["b"] = link;
   body["s"] = CanReadStore();
-  Json ends = quarantine_.TakeReportRows(lease_.NewestOwner().token);
+  Json ends = quarantine_.BuildReportRows(lease_.NewestOwner().token);
   if (!ends.is_null()) body[kServerEnds] = std::move(ends);
   Json usage = quotas_.ReportRows();
   if (!usage.empty()) body[kQuotaRows] = std::move(usage);
@@ -353,11 +352,11 @@
                          {PeerMessageType::kFleetReport, std::move(body)}});
 }
 
-void FleetKeeper::TakeHostReport(const std::string& host, const Json& body) {
+void FleetManager::HandleHostReport(const std::string& host, const Json& body) {
   if (!planner_) return;
   FleetPeer& peer = peers_[host];
   peer.address = FieldOr<std::string>(body, "p", "");
-  peer.heard_at = context_.now;
+  peer.last_report_at = context_.now;
   peer.data_centre = FieldOr<std::string>(body, "d", "");
   peer.cpu_share = FieldOr<double>(body, "c", 0.0);
   peer.link_mbps = FieldOr<double>(body, "b", 0.0);
@@ -365,7 +364,7 @@
   const Json missed = body.value("m", Json::array());
   if (missed.is_array() && missed.size() == 2 && missed[0] == lease_.token() &&
       missed[1].is_number_unsigned()) {
-    peer.sent_news = std::min(peer.sent_news, missed[1].get<uint64_t>());
+    peer.sent_change = std::min(peer.sent_change, missed[1].get<uint64_t>());
     peer.is_urgent = true;
   }
   if (body.contains(kServerEnds)) {
@@ -375,7 +374,7 @@
   if (body.contains(kQuotaRows)) {
     quotas_.TakeReport(host, peer.data_centre, body[kQuotaRows]);
   }
-  limits_.NoteHost(host);
+  limits_.RecordHostContact(host);
   if (body.contains(kLimitRows)) {
     limits_.TakeReport(host, body[kLimitRows], servers_);
   }
@@ -395,7 +394,7 @@
   }
 }
 
-void FleetKeeper::Plan() {
+void FleetManager::Plan() {
   std::vector<OrderToSend> orders;
   planner_->SetLimits(limits_.Limits());
   planner_->Decide(lease_.MayOrder() && !IsHandingOver(), context_.now, orders);
@@ -409,11 +408,11 @@
   quarantine_.NumberRows(last_news_);
   limits_.NumberRows(last_news_);
   for (const auto& [id, server] : servers_) {
-    const uint64_t version = planner_->VersionOf(id);
+    const uint64_t version = planner_->StateVersion(id);
     Applied& applied = applied_[id];
     if (version == 0 || applied.version == version) continue;
     applied.version = version;
-    std::vector<std::string> ready = planner_->ReadyOn(id);
+    std::vector<std::string> ready = planner_->ReadyTargetsOf(id);
     std::vector<std::string>& announced = announced_[id];
     const bool is_told = applied.news != 0 && announced == ready;
     // Told again when a host waits for what it should know to be ready.
@@ -436,8 +435,8 @@
   }
 }
 
-void FleetKeeper::LogNotes() {
-  for (const PlacementNote& note : planner_->TakeNotes()) {
+void FleetManager::LogNotes() {
+  for (const PlacementEvent& note : planner_->TakeEvents()) {
     context_.metrics.Count(
         absl::StrCat("placement_total{event=\"", note.event, "\"}"));
     if (note.event == "load_ready") context_.metrics.Observe("load", note.took);
@@ -450,14 +449,14 @@
   }
 }
 
-void FleetKeeper::SendPlans() {
+void FleetManager::SendPlans() {
   if (context_.now - loads_at_ >= kLoadInterval) {
     TakeLoads(SumLoads());
   }
   std::erase_if(peers_, [this](const auto& item) {
-    return context_.now - item.second.heard_at > kPeerLife;
+    return context_.now - item.second.last_report_at > kPeerLife;
   });
-  context_.fleet_hosts = static_cast<int>(peers_.size()) + 1;
+  context_.entry_host_count = static_cast<int>(peers_.size()) + 1;
   for (auto& [host, peer] : peers_) {
     const bool is_urgent = peer.is_urgent || !peer.has_plan;
     if (!is_urgent && peer.waiting.empty()) continue;
@@ -472,7 +471,7 @@
 // Made once for each, and with the planner's index, the busiest host needs 0.15
 // of its half core on a quiet day; orders had left seconds late before. Data
 // centres are told by turns, so that no tick sends to all hosts.
-void FleetKeeper::SendSharedPlans() {
+void FleetManager::SendSharedPlans() {
   std::set<std::string> centres;
   for (const auto& [host, peer] : peers_) centres.insert(peer.data_centre);
   std::erase_if(
@@ -492,36 +491,37 @@
   }
 }
 
-void FleetKeeper::SendSharedPlan(const std::string& data_centre,
-                                 SharedPlanState& told) {
+void FleetManager::SendSharedPlan(const std::string& data_centre,
+                                  SharedPlanState& told) {
   SendPeers action;
   for (auto& [host, peer] : peers_) {
     if (peer.data_centre != data_centre || !peer.has_plan) continue;
     action.peers.push_back({host, peer.address});
-    peer.sent_news = last_news_;
+    peer.sent_change = last_news_;
   }
   action.message.type = PeerMessageType::kFleetPlan;
   action.message.body = PlanBody(data_centre, told.news);
   action.message.body["l"] = LoadsToJson(loads_);
-  const PeerAddress backup =
-      readers_.Backup(data_centre, ReaderOf(data_centre).host, context_.now);
+  const PeerAddress backup = readers_.SelectBackup(
+      data_centre, ReaderOf(data_centre).host, context_.now);
   action.message.body["b"] = Json::array({backup.host, backup.address});
   told = {context_.now, last_news_};
   if (!action.peers.empty()) context_.Emit(std::move(action));
 }
 
-bool FleetKeeper::CanReadStore() const {
+bool FleetManager::CanReadStore() const {
   return !context_.is_draining && !context_.log_failed &&
-         context_.now - context_.news.AsOf() <= context_.settings.news.trust;
+         context_.now - context_.news.OldestFreshness() <=
+             context_.settings.news.max_staleness;
 }
 
 // Each of many hosts has a request or two at an engine and cannot see that
 // together they have several times what it can run.
-EngineLoads FleetKeeper::SumLoads() const {
+EngineLoads FleetManager::SumLoads() const {
   EngineLoads busy;
   for (const auto& [id, server] : servers_) {
-    const EngineLoad load{planner_->RequestsAt(id),
-                          planner_->ArrivalsAt(id, context_.now)};
+    const EngineLoad load{planner_->RunningRequestCount(id),
+                          planner_->ArrivalRate(id, context_.now)};
     if (load.running >= kToldLoad * server.slots ||
         load.arrivals >= kToldArrivals * server.slots) {
       busy[id] = load;
@@ -530,7 +530,7 @@
   return busy;
 }
 
-void FleetKeeper::TakeLoads(EngineLoads loads) {
+void FleetManager::TakeLoads(EngineLoads loads) {
   for (const auto& [id, load] : loads) {
     context_.view.SetLoad(id, load.running, load.arrivals);
   }
@@ -541,7 +541,7 @@
   loads_at_ = context_.now;
 }
 
-int FleetKeeper::PeersIn(const std::string& data_centre) const {
+int FleetManager::PeersIn(const std::string& data_centre) const {
   return static_cast<int>(
       std::count_if(peers_.begin(), peers_.end(), [&](const auto& item) {
         return item.second.data_centre == data_centre;
@@ -551,7 +551,7 @@
 // The host that reads the store for `data_centre`: the owner for its own if
 // that is small, as it reads for itself in any case; else the one with most
 // processor, as long as it lives.
-PeerAddress FleetKeeper::ReaderOf(const std::string& data_centre) {
+PeerAddress FleetManager::ReaderOf(const std::string& data_centre) {
   if (!context_.settings.policies.Has(Policy::kStoreRelay)) return {};
   const bool is_own = data_centre == context_.settings.data_centre;
   const bool is_settled = readers_.IsSettled(context_.now);
@@ -560,15 +560,15 @@
       PeersIn(data_centre) <= kMostOwnFollowers) {
     return {context_.settings.self.host, context_.settings.peer_address};
   }
-  return readers_.Reader(data_centre, context_.now);
+  return readers_.SelectReader(data_centre, context_.now);
 }
 
-Json FleetKeeper::PlanBody(const std::string& data_centre, uint64_t since) {
+Json FleetManager::PlanBody(const std::string& data_centre, uint64_t since) {
   Json body{{"k", lease_.token()},
             {"p", context_.settings.peer_address},
             {"e", Json::array()},
             {"w", Json::array()},
-            {"n", context_.fleet_hosts},
+            {"n", context_.entry_host_count},
             {"f", since},
             {"u", last_news_}};
   // Guards against a reader that a new owner names before it has heard the
@@ -590,18 +590,18 @@
   return body;
 }
 
-void FleetKeeper::SendPlan(const std::string& host, FleetPeer& peer) {
-  Json body = PlanBody(peer.data_centre, peer.sent_news);
+void FleetManager::SendPlan(const std::string& host, FleetPeer& peer) {
+  Json body = PlanBody(peer.data_centre, peer.sent_change);
   if (!peer.has_plan) body["l"] = LoadsToJson(loads_);
   peer.has_plan = true;
   peer.sent_at = context_.now;
   peer.is_urgent = false;
-  peer.sent_news = last_news_;
+  peer.sent_change = last_news_;
   for (const std::string& target : peer.waiting) {
     const DemandAnswer answer = planner_->Answer(target, context_.now);
     body["w"].push_back(Json::array({target, static_cast<int>(answer.status),
                                      ToMillis(answer.expected),
-                                     static_cast<int>(answer.put_off)}));
+                                     static_cast<int>(answer.deferral)}));
   }
   Json ack = quarantine_.TakeAckFor(host);
   if (!ack.is_null()) body[kServerEnds] = std::move(ack);
@@ -609,8 +609,8 @@
       host, peer.address, {PeerMessageType::kFleetPlan, std::move(body)}});
 }
 
-std::vector<DemandAnswer> FleetKeeper::TakePlan(const std::string& host,
-                                                const Json& body) {
+std::vector<DemandAnswer> FleetManager::TakePlan(const std::string& host,
+                                                 const Json& body) {
   std::vector<DemandAnswer> answers;
   const FencingToken token = FieldOr<uint64_t>(body, "k", 0);
   if (planner_ || token < lease_.token()) return answers;
@@ -621,7 +621,7 @@
   }
   lease_.NoteSignOfLife({host, FieldOr<std::string>(body, "p", "")}, token);
   if (body.contains("l")) TakeLoads(LoadsFromJson(body["l"]));
-  context_.fleet_hosts = std::max(1, FieldOr<int>(body, "n", 1));
+  context_.entry_host_count = std::max(1, FieldOr<int>(body, "n", 1));
   ReadPeerAddress(body, "r", reader_);
   ReadPeerAddress(body, "b", backup_reader_);
   TakeNews(body, token);
@@ -643,11 +643,11 @@
     }
     const int told =
         row.size() > 3 && row[3].is_number_integer() ? row[3].get<int>() : 0;
-    const int put_off =
-        std::clamp(told, 0, static_cast<int>(PutOff::kEngineBusy));
+    const int deferral =
+        std::clamp(told, 0, static_cast<int>(Deferral::kEngineBusy));
     answers.push_back(
         {row[0].get<std::string>(), "", static_cast<DemandStatus>(status),
-         milliseconds(row[2].get<int64_t>()), static_cast<PutOff>(put_off)});
+         milliseconds(row[2].get<int64_t>()), static_cast<Deferral>(deferral)});
   }
   return answers;
 }
@@ -656,7 +656,7 @@
 // that was full: what they said of an engine stayed unknown here until it
 // changed again. Each plan says after which news its own begin; a gap goes into
 // the next report, and the owner tells all of it once more.
-void FleetKeeper::TakeNews(const Json& body, FencingToken token) {
+void FleetManager::TakeNews(const Json& body, FencingToken token) {
   if (token != news_token_) {
     news_token_ = token;
     known_news_ = 0;
@@ -681,7 +681,7 @@
   }
 }
 
-std::vector<DemandAnswer> FleetKeeper::RunTick() {
+std::vector<DemandAnswer> FleetManager::RunTick() {
   std::vector<DemandAnswer> answers;
   lease_.WatchClock();
   DropDeparted();
@@ -690,7 +690,7 @@
   quarantine_.RunTick(planner_ != nullptr, lease_.HeardWithin(kPlanLife));
   quotas_.RunTick(reader_);
   limits_.RunTick(lease_.Owner(), lease_.NewestOwner().token,
-                  lease_.HeardWithin(kOwnerTrust));
+                  lease_.HeardWithin(kOwnerContactTtl));
   if (planner_) {
     const bool has_news = HasNewWaiting();
     if (has_news || context_.now - reported_at_ >= kBeatInterval) {
@@ -713,7 +713,7 @@
   return answers;
 }
 
-Json FleetKeeper::ToJson() const {
+Json FleetManager::ToJson() const {
   Json json = lease_.ToJson();
   json["servers"] = Json::object();
   json["departing"] = departing_.size();
--- a/node/fleet_keeper.h
+++ b/node/fleet_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_FLEET_KEEPER_H_
-#define APPLEHALL_NODE_FLEET_KEEPER_H_
+#ifndef APPLEHALL_NODE_FLEET_MANAGER_H_
+#define APPLEHALL_NODE_FLEET_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -9,12 +9,12 @@
 #include <vector>
 
 #include "node/engine_loads.h"
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 #include "node/node_context.h"
 #include "node/placement_lease.h"
-#include "node/quarantine_keeper.h"
-#include "node/quota_keeper.h"
-#include "node/reader_choice.h"
+#include "node/quarantine_manager.h"
+#include "node/quota_manager.h"
+#include "node/reader_selector.h"
 #include "node/store_relay.h"
 #include "placement/fleet_planner.h"
 
@@ -27,10 +27,10 @@
 // is ready where. The store's conditional append decides who holds the lease;
 // signs of life only decide when another host may try. Without an owner, or
 // cut off from it, a host goes on serving what the listing shows as loaded.
-class FleetKeeper {
+class FleetManager {
  public:
-  FleetKeeper(NodeContext& context, QuarantineKeeper& quarantine,
-              QuotaKeeper& quotas, LimitKeeper& limits)
+  FleetManager(NodeContext& context, QuarantineManager& quarantine,
+               QuotaManager& quotas, LimitManager& limits)
       : context_(context),
         quarantine_(quarantine),
         quotas_(quotas),
@@ -38,22 +38,22 @@
         lease_(context) {}
 
   // ---- What the platform says. Not thread-safe. ----
-  void TakeServers(const ServersListed& event);
-  void CatalogueChanged();
-  void TakeLease(const LeaseRead& event);
+  void HandleServerList(const ServerListRead& event);
+  void HandleCatalogueChange();
+  void HandleLeaseRead(const LeaseRead& event);
   void TakeAppendEnd(const LeaseAppendEnded& event);
   void TakeInventory(const Inventory& inventory, TimePoint asked_at);
   void TakeOrderResult(const OrderAnswered& event);
 
   // ---- What other hosts say. Not thread-safe. ----
-  void TakeHostReport(const std::string& host, const Json& body);
+  void HandleHostReport(const std::string& host, const Json& body);
   // The answers in it to this host's demands.
   std::vector<DemandAnswer> TakePlan(const std::string& host, const Json& body);
 
   // ---- What this host's requests say. Not thread-safe. ----
   void RecordArrival(const std::string& target, double worth);
   // States the level of one target's queue until the next tick.
-  void SetWaiting(const Demand& demand);
+  void SetDemand(const Demand& demand);
 
   // Holds or claims the lease, plans, reports. The answers to this host's own
   // demands if it is the owner. Not thread-safe.
@@ -70,7 +70,7 @@
   // Who holds the lease, as far as this host knows. Not thread-safe.
   KnownOwner NewestOwner() const { return lease_.NewestOwner(); }
   // Another host says who does. Not thread-safe.
-  void NoteOwner(const KnownOwner& owner) { lease_.NoteOwner(owner); }
+  void RecordOwner(const KnownOwner& owner) { lease_.RecordOwner(owner); }
   // A backend server of `service` is listed. Not thread-safe.
   bool OffersService(const std::string& service) const;
   Json ToJson() const;
@@ -118,9 +118,9 @@
   bool IsLaterLife(const ListedServer& server);
 
   NodeContext& context_;
-  QuarantineKeeper& quarantine_;
-  QuotaKeeper& quotas_;
-  LimitKeeper& limits_;
+  QuarantineManager& quarantine_;
+  QuotaManager& quotas_;
+  LimitManager& limits_;
   EngineList servers_;
   // Not listed any more, but only since the store was away: they may be back.
   std::set<std::string> departing_;
@@ -140,7 +140,7 @@
   PlacementLease lease_;
   std::unique_ptr<FleetPlanner> planner_;
   FleetPeers peers_;
-  ReaderChoice readers_{peers_};
+  ReaderSelector readers_{peers_};
   std::map<std::string, SharedPlanState> told_;  // By data centre.
   std::string last_told_;  // Data centres are told by turns.
 
@@ -163,4 +163,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_FLEET_KEEPER_H_
+#endif  // APPLEHALL_NODE_FLEET_MANAGER_H_
--- a/node/news_budget.h
+++ b/node/freshness_budget.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_NEWS_BUDGET_H_
-#define APPLEHALL_NODE_NEWS_BUDGET_H_
+#ifndef APPLEHALL_NODE_FRESHNESS_BUDGET_H_
+#define APPLEHALL_NODE_FRESHNESS_BUDGET_H_
 
 #include "core/clock.h"
 
@@ -15,17 +15,17 @@
 //   the reader is lost:   trust + read_timeout + retry_pause + apply <= bound
 //   own read hangs:       renewal + read_timeout + retry_pause + apply <= bound
 //   nothing fails:        renewal + beat + transit <= trust
-struct NewsBudget {
+struct FreshnessBudget {
   Duration bound;
   // A host that reads the store proves each topic anew this often.
-  Duration renewal;
+  Duration renewal_interval;
   // Readers tell their followers how recent their proofs are this often, and
   // followers ask for it.
-  Duration beat;
+  Duration heartbeat_interval;
   // How long such a message may be under way without a follower's own read.
-  Duration transit;
+  Duration max_transit;
   // A follower reads for itself where a proof is older.
-  Duration trust;
+  Duration max_staleness;
   // A read of the store, beyond its wait for news.
   Duration read_timeout;
   // After a first failed read; doubled with each further one.
@@ -35,17 +35,17 @@
 
   // A host whose proof is older cannot say that there is no such route or key,
   // as one may have been added in time; the next answer of the store tells.
-  constexpr Duration most_age() const { return trust + read_timeout; }
+  constexpr Duration max_age() const { return max_staleness + read_timeout; }
 
   // Requires: `bound` is positive. Thread-safe.
-  static constexpr NewsBudget Within(Duration bound) {
+  static constexpr FreshnessBudget Within(Duration bound) {
     constexpr int kParts = 16;
     const Duration part = bound / kParts;
     return {.bound = bound,
-            .renewal = 5 * part,
-            .beat = 2 * part,
-            .transit = part,
-            .trust = 8 * part,
+            .renewal_interval = 5 * part,
+            .heartbeat_interval = 2 * part,
+            .max_transit = part,
+            .max_staleness = 8 * part,
             .read_timeout = 4 * part,
             .retry_pause = part,
             .apply = 3 * part};
@@ -54,4 +54,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_NEWS_BUDGET_H_
+#endif  // APPLEHALL_NODE_FRESHNESS_BUDGET_H_
--- a/node/gossip.cc
+++ b/node/gossip.cc
@@ -46,7 +46,7 @@
   return batch;
 }
 
-Gossip::Gossip(NodeContext& context, GroupKeeper& groups)
+Gossip::Gossip(NodeContext& context, GroupManager& groups)
     : context_(context), groups_(groups) {}
 
 bool Gossip::IsControlReader() const {
@@ -101,7 +101,7 @@
   }
   MakeOwnSummary();
   const bool is_urgent = HasUrgentNews();
-  const Duration interval = is_urgent ? context_.settings.gossip_least_interval
+  const Duration interval = is_urgent ? context_.settings.min_gossip_interval
                                       : context_.settings.gossip_interval;
   bool has_sent_all = true;
   for (const std::string& peer : peers_) {
@@ -158,7 +158,7 @@
     Json digests = NewDigests(state);
     if (!digests.empty()) body["d"] = std::move(digests);
     Json beats = Json::array();
-    for (const GroupKeeper::Beat& beat : groups_.Beats()) {
+    for (const GroupManager::Beat& beat : groups_.Beats()) {
       beats.push_back({beat.group, beat.token, beat.count});
     }
     if (!beats.empty()) body["b"] = std::move(beats);
@@ -167,7 +167,7 @@
   context_.Send(peer, PeerMessageType::kGossip, std::move(body));
 }
 
-void Gossip::Take(const std::string& from, const Json& body) {
+void Gossip::HandleGossip(const std::string& from, const Json& body) {
   context_.metrics.Count("gossip_received_total");
   PeerState& state = states_[from];
   if (const auto digests = body.find("d");
@@ -235,7 +235,7 @@
 void Gossip::SendControl(const std::string& peer, PeerState& state) {
   if (!context_.control.is_based()) return;
   if (context_.now - state.control_sent_at <
-      context_.settings.gossip_least_interval) {
+      context_.settings.min_gossip_interval) {
     return;
   }
   const std::optional<LogBatch> records =
@@ -269,7 +269,7 @@
          context_.control.is_based() != was_based;
 }
 
-std::string Gossip::DataCentreWith(
+std::string Gossip::FindReadyDataCentre(
     const std::string& target, const std::vector<std::string>& allowed) const {
   for (const auto& [name, summary] : summaries_) {
     if (name == context_.settings.data_centre) continue;
--- a/node/gossip.h
+++ b/node/gossip.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "node/group_keeper.h"
+#include "node/group_manager.h"
 #include "node/node_context.h"
 
 namespace applehall {
@@ -28,13 +28,13 @@
 // by comparing control offsets.
 class Gossip {
  public:
-  Gossip(NodeContext& context, GroupKeeper& groups);
+  Gossip(NodeContext& context, GroupManager& groups);
 
   // Sends what is due. Not thread-safe.
   void RunTick();
   // Takes a gossip message; true if the control state may have changed. Not
   // thread-safe.
-  void Take(const std::string& from, const Json& body);
+  void HandleGossip(const std::string& from, const Json& body);
   // Takes control records or a snapshot; true if they helped. Not
   // thread-safe.
   bool TakeControl(const Json& body);
@@ -44,8 +44,8 @@
   // nothing was confirmed for a while. Not thread-safe.
   bool IsControlReader() const;
   // Another data centre where `target` is ready, or empty. Not thread-safe.
-  std::string DataCentreWith(const std::string& target,
-                             const std::vector<std::string>& allowed) const;
+  std::string FindReadyDataCentre(
+      const std::string& target, const std::vector<std::string>& allowed) const;
   Json ToJson() const;
 
  private:
@@ -65,7 +65,7 @@
   bool HasUrgentNews() const;
 
   NodeContext& context_;
-  GroupKeeper& groups_;
+  GroupManager& groups_;
   std::vector<std::string> peers_;
   uint64_t peers_version_ = 0;
   std::map<std::string, PeerState> states_;
--- a/node/group_keeper.cc
+++ b/node/group_manager.cc
@@ -1,5 +1,3 @@
-#include "node/group_keeper.h"
-
 #include <absl/strings/str_cat.h>
 
 #include <algorithm>
@@ -7,6 +5,7 @@
 
 #include "core/event_log.h"
 #include "core/hash.h"
+#include "node/group_manager.h"
 
 namespace applehall {
 namespace {
@@ -23,21 +22,21 @@
 
 }  // namespace
 
-GroupKeeper::GroupKeeper(NodeContext& context, LogWriter& writer)
+GroupManager::GroupManager(NodeContext& context, LogWriter& writer)
     : context_(context), writer_(writer) {}
 
-std::string GroupKeeper::GroupName(int index) const {
+std::string GroupManager::GroupName(int index) const {
   return absl::StrCat(context_.settings.data_centre, "/", index);
 }
 
-int GroupKeeper::IndexOf(const std::string& group) const {
+int GroupManager::IndexOf(const std::string& group) const {
   for (int i = 0; i < context_.settings.group_count; ++i) {
     if (GroupName(i) == group) return i;
   }
   return -1;
 }
 
-std::vector<std::string> GroupKeeper::GroupsFor(
+std::vector<std::string> GroupManager::RankGroups(
     const std::string& target) const {
   const auto entry = context_.catalogue.find(target);
   const bool is_adapter =
@@ -53,23 +52,23 @@
   return groups;
 }
 
-std::string GroupKeeper::OwnerOf(const std::string& group) const {
+std::string GroupManager::OwnerOf(const std::string& group) const {
   const GroupOwnership* ownership = context_.control.ownership().Find(group);
   return ownership == nullptr ? "" : ownership->owner.host;
 }
 
 // A bound on replicas in the data centre is split between its groups, in the
 // order in which they serve the model, so that no two owners have to agree.
-int GroupKeeper::Quota(const std::string& group, const std::string& target,
-                       int most) const {
-  const std::vector<std::string> groups = GroupsFor(target);
+int GroupManager::Quota(const std::string& group, const std::string& target,
+                        int most) const {
+  const std::vector<std::string> groups = RankGroups(target);
   const int count = static_cast<int>(groups.size());
   const int rank = static_cast<int>(
       std::find(groups.begin(), groups.end(), group) - groups.begin());
   return most / count + (rank < most % count ? 1 : 0);
 }
 
-PlacementPolicy GroupKeeper::Policy() const {
+PlacementPolicy GroupManager::Policy() const {
   PlacementPolicy policy;
   policy.bounds = &context_.bounds;
   policy.catalogue = &context_.catalogue;
@@ -78,15 +77,15 @@
   return policy;
 }
 
-void GroupKeeper::TakeBeat(const std::string& group, FencingToken token,
-                           uint64_t beat) {
+void GroupManager::TakeBeat(const std::string& group, FencingToken token,
+                            uint64_t beat) {
   HeardBeat& heard = beats_[group];
   if (token < heard.token) return;
   if (token == heard.token && beat <= heard.count) return;
   heard = {token, beat, context_.now};
 }
 
-std::vector<GroupKeeper::Beat> GroupKeeper::Beats() const {
+std::vector<GroupManager::Beat> GroupManager::Beats() const {
   std::vector<Beat> beats;
   for (const auto& [group, owner] : owners_) {
     beats.push_back({group, owner->token(), beat_count_});
@@ -99,8 +98,8 @@
   return beats;
 }
 
-bool GroupKeeper::IsOwnerGone(const std::string& group,
-                              const GroupOwnership& ownership) {
+bool GroupManager::IsOwnerGone(const std::string& group,
+                               const GroupOwnership& ownership) {
   if (ownership.owner.host == context_.settings.self.host) {
     // An earlier life of this host; it cannot come back.
     return ownership.owner.number != context_.settings.self.number;
@@ -120,9 +119,9 @@
   return context_.now - last > context_.settings.owner_lease;
 }
 
-bool GroupKeeper::IsMyTurn(const std::string& group,
-                           const GroupOwnership* ownership,
-                           TimePoint since) const {
+bool GroupManager::IsMyTurn(const std::string& group,
+                            const GroupOwnership* ownership,
+                            TimePoint since) const {
   std::vector<std::pair<uint64_t, std::string>> ranked;
   for (const HostEntry* host :
        context_.hosts.EntryHosts(context_.settings.data_centre, false)) {
@@ -141,7 +140,7 @@
   return false;
 }
 
-void GroupKeeper::TryClaim(const std::string& group) {
+void GroupManager::TryClaim(const std::string& group) {
   const GroupOwnership* ownership = context_.control.ownership().Find(group);
   const FencingToken previous = ownership == nullptr ? 0 : ownership->token;
   if (ownership != nullptr && ownership->is_owned() &&
@@ -159,7 +158,7 @@
                  ClaimGroupRecord("", group, context_.settings.self, previous));
 }
 
-bool GroupKeeper::HasUnreleasedPredecessor(
+bool GroupManager::HasUnreleasedPredecessor(
     const GroupOwnership& ownership) const {
   const Duration horizon = context_.settings.owner.order_horizon;
   return std::any_of(
@@ -174,7 +173,7 @@
       });
 }
 
-void GroupKeeper::Reconcile() {
+void GroupManager::Reconcile() {
   for (int i = 0; i < context_.settings.group_count; ++i) {
     const std::string group = GroupName(i);
     const GroupOwnership* ownership = context_.control.ownership().Find(group);
@@ -187,7 +186,7 @@
       // lease lapsed. Orders stop here at once; the release follows when none
       // is under way.
       held->second->Stop();
-      for (int i = held->second->TakeOpenStoreLoads(); i > 0; --i) {
+      for (int i = held->second->ReleaseStoreLoads(); i > 0; --i) {
         store_.End();
       }
       retiring_.push_back(std::move(held->second));
@@ -207,7 +206,7 @@
   UpdateStoreShare();
 }
 
-void GroupKeeper::UpdateStoreShare() {
+void GroupManager::UpdateStoreShare() {
   // Each group of each data centre has an equal share, known to all from the
   // host list; what does not divide goes to the first ones by name.
   int centres = 0;
@@ -230,7 +229,7 @@
                   held_slots);
 }
 
-void GroupKeeper::RunTick() {
+void GroupManager::RunTick() {
   if (context_.now - decided_at_ < kDecideInterval) return;
   decided_at_ = context_.now;
   ++beat_count_;
@@ -246,7 +245,7 @@
   BorrowFromStore();
 }
 
-void GroupKeeper::DriveOwner(const std::string& group, EngineOwner& owner) {
+void GroupManager::DriveOwner(const std::string& group, EngineOwner& owner) {
   const GroupOwnership* ownership = context_.control.ownership().Find(group);
   owner.SetEngines(
       context_.hosts.Engines(IndexOf(group), context_.settings.group_count));
@@ -269,8 +268,8 @@
   PublishDigests(owner);
 }
 
-void GroupKeeper::LogNotes(EngineOwner& owner) {
-  for (const PlacementNote& note : owner.TakeNotes()) {
+void GroupManager::LogNotes(EngineOwner& owner) {
+  for (const PlacementEvent& note : owner.TakeEvents()) {
     context_.metrics.Count(
         absl::StrCat("placement_total{event=\"", note.event, "\"}"));
     if (note.event == "load_ready" && note.took > Duration::zero()) {
@@ -295,7 +294,7 @@
   }
 }
 
-void GroupKeeper::PublishDigests(EngineOwner& owner) {
+void GroupManager::PublishDigests(EngineOwner& owner) {
   for (const auto& [name, engine] : owner.engines()) {
     if (!engine.ledger.is_known()) continue;
     const Inventory& inventory = engine.ledger.inventory();
@@ -318,7 +317,7 @@
 // Tells a change of what is ready at once, a change of load when it is large
 // or the last one is old, and everything again now and then for hosts that
 // missed it.
-void GroupKeeper::PublishDigest(EngineDigest digest) {
+void GroupManager::PublishDigest(EngineDigest digest) {
   const EngineDigest* known = context_.view.Find(digest.engine);
   SentDigest& sent = digests_sent_[digest.engine];
   const bool is_load_only = known != nullptr &&
@@ -343,8 +342,8 @@
   context_.view.Merge(digest, context_.now);
 }
 
-void GroupKeeper::TakeInventory(const Inventory& inventory,
-                                TimePoint asked_at) {
+void GroupManager::TakeInventory(const Inventory& inventory,
+                                 TimePoint asked_at) {
   for (auto& [group, owner] : owners_) {
     owner->TakeInventory(inventory, asked_at, context_.now);
     PublishDigests(*owner);
@@ -354,8 +353,8 @@
   }
 }
 
-std::optional<DemandAnswer> GroupKeeper::TakeDemand(const std::string& group,
-                                                    const Demand& demand) {
+std::optional<DemandAnswer> GroupManager::TakeDemand(const std::string& group,
+                                                     const Demand& demand) {
   const auto it = owners_.find(group);
   if (it == owners_.end()) return std::nullopt;
   it->second->TakeDemand(demand, context_.now);
@@ -367,7 +366,7 @@
       context_.now);
 }
 
-void GroupKeeper::ReleaseFinished() {
+void GroupManager::ReleaseFinished() {
   const auto release = [this](const EngineOwner& owner) {
     LogEvent(LogLevel::kInfo, "group_release")
         .With("group", owner.group())
@@ -395,20 +394,20 @@
       context_.Emit(SendOrder{std::move(order.engine), std::move(order.address),
                               std::move(order.order)});
     }
-    if (owner->IsQuiet(context_.now) && !context_.IsLogDown()) release(*owner);
+    if (owner->IsIdle(context_.now) && !context_.IsLogDown()) release(*owner);
     return false;
   });
   if (!context_.is_draining) return;
   for (auto& [group, owner] : owners_) {
-    if (owner->IsQuiet(context_.now) && !context_.IsLogDown()) release(*owner);
+    if (owner->IsIdle(context_.now) && !context_.IsLogDown()) release(*owner);
   }
 }
 
-void GroupKeeper::BorrowFromStore() {
+void GroupManager::BorrowFromStore() {
   if (context_.now - asked_store_at_ < kBorrowInterval) return;
   const bool wants = std::any_of(
       owners_.begin(), owners_.end(),
-      [](const auto& entry) { return entry.second->wants_store(); });
+      [](const auto& entry) { return entry.second->needs_store(); });
   if (!wants) return;
   asked_store_at_ = context_.now;
   // One other owner at a time, drawn at random: no owner asks everybody.
@@ -425,7 +424,7 @@
                 PeerMessageType::kStoreBorrow, Json::object());
 }
 
-void GroupKeeper::TakeStoreBorrow(const std::string& host, const Json&) {
+void GroupManager::HandleStoreBorrow(const std::string& host, const Json&) {
   const Incarnation& self = context_.settings.self;
   const std::optional<StoreGrant> grant = store_.Lend(
       absl::StrCat(self.host, ".", self.number, ".", ++grant_count_),
@@ -439,7 +438,7 @@
                      {"life_ms", ToMillis(grant->expires - context_.now)}});
 }
 
-void GroupKeeper::TakeStoreGrant(const Json& body) {
+void GroupManager::HandleStoreGrant(const Json& body) {
   StoreGrant grant;
   grant.id = FieldOr<std::string>(body, "id", "");
   grant.loads = FieldOr<double>(body, "loads", 0.0);
@@ -449,7 +448,7 @@
   store_.Accept(grant, context_.now);
 }
 
-Json GroupKeeper::ToJson() const {
+Json GroupManager::ToJson() const {
   Json json{{"owned", Json::object()}, {"retiring", Json::array()}};
   for (const auto& [group, owner] : owners_) {
     json["owned"][group] = owner->ToJson(context_.now);
@@ -457,7 +456,7 @@
   for (const auto& owner : retiring_) {
     json["retiring"].push_back(owner->ToJson(context_.now));
   }
-  json["store"] = Json{{"loads_saved", store_.loads_saved(context_.now)},
+  json["store"] = Json{{"loads_saved", store_.available_loads(context_.now)},
                        {"slots", store_.slots(context_.now)},
                        {"slots_in_use", store_.slots_in_use()}};
   for (const auto& [group, heard] : beats_) {
--- a/node/group_keeper.h
+++ b/node/group_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_GROUP_KEEPER_H_
-#define APPLEHALL_NODE_GROUP_KEEPER_H_
+#ifndef APPLEHALL_NODE_GROUP_MANAGER_H_
+#define APPLEHALL_NODE_GROUP_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -19,9 +19,9 @@
 // The log decides who owns a group; a lease only decides when another host
 // may try. An owner that is cut off from the log goes on: nobody can take its
 // engines over without the log.
-class GroupKeeper {
+class GroupManager {
  public:
-  GroupKeeper(NodeContext& context, LogWriter& writer);
+  GroupManager(NodeContext& context, LogWriter& writer);
 
   // Compares what is held with what the log says. Call after the control
   // fold or the host list changed. Not thread-safe.
@@ -37,8 +37,8 @@
                                          const Demand& demand);
   // A peer's sign of life for a group it owns. Not thread-safe.
   void TakeBeat(const std::string& group, FencingToken token, uint64_t beat);
-  void TakeStoreBorrow(const std::string& host, const Json& body);
-  void TakeStoreGrant(const Json& body);
+  void HandleStoreBorrow(const std::string& host, const Json& body);
+  void HandleStoreGrant(const Json& body);
 
   // Signs of life to spread: group, token, count. Not thread-safe.
   struct Beat {
@@ -49,11 +49,11 @@
   std::vector<Beat> Beats() const;
   // Groups of this data centre in the order in which they serve `target`.
   // Adapters stand with their base model. Not thread-safe.
-  std::vector<std::string> GroupsFor(const std::string& target) const;
+  std::vector<std::string> RankGroups(const std::string& target) const;
   // The host that owns `group` now; empty if none. Not thread-safe.
   std::string OwnerOf(const std::string& group) const;
   // Whether something is still held that a drain must release.
-  bool HoldsAny() const { return !owners_.empty(); }
+  bool OwnsAnyGroup() const { return !owners_.empty(); }
   Json ToJson() const;
 
  private:
@@ -104,4 +104,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_GROUP_KEEPER_H_
+#endif  // APPLEHALL_NODE_GROUP_MANAGER_H_
--- a/node/limit_keeper.cc
+++ b/node/limit_manager.cc
@@ -1,4 +1,4 @@
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 
 #include <absl/strings/str_cat.h>
 #include <absl/strings/str_format.h>
@@ -28,18 +28,18 @@
 constexpr char kAnswers[] = "g";
 
 // ID, server, caller, worth, is background, patience in ms.
-Json AskRow(const PermitAsk& ask) {
+Json AskRow(const HostPermitRequest& ask) {
   return Json::array({ask.id, ask.server, ask.caller, ask.worth,
                       ask.is_background, ToMillis(ask.patience)});
 }
 
-std::optional<PermitAsk> ReadAsk(const Json& row) {
+std::optional<HostPermitRequest> ReadAsk(const Json& row) {
   const bool is_ask = row.is_array() && row.size() == 6 &&
                       row[0].is_number_unsigned() && row[1].is_string() &&
                       row[2].is_string() && row[3].is_number() &&
                       row[4].is_boolean() && row[5].is_number_integer();
   if (!is_ask) return std::nullopt;
-  PermitAsk ask;
+  HostPermitRequest ask;
   ask.id = row[0].get<uint64_t>();
   ask.server = row[1].get<std::string>();
   ask.caller = row[2].get<std::string>();
@@ -74,9 +74,9 @@
 
 // ---- Limits ----
 
-void LimitKeeper::TakeReported(const std::string& server,
-                               const ReportedLimit& reported,
-                               TimePoint sent_at) {
+void LimitManager::ApplyReported(const std::string& server,
+                                 const ReportedLimit& reported,
+                                 TimePoint sent_at) {
   if (reported.kind == ReportedLimit::Kind::kMalformed) {
     context_.metrics.Count("server_limits_unreadable_total");
     LogEvent(LogLevel::kWarning, "server_limit_unreadable")
@@ -85,7 +85,7 @@
     return;
   }
   const std::optional<double> before = book_.Find(server);
-  if (!book_.TakeReported(server, reported, sent_at, context_.now)) return;
+  if (!book_.ApplyReported(server, reported, sent_at, context_.now)) return;
   LogEvent(LogLevel::kInfo, "server_limit_heard")
       .With("server", server)
       .With("per_second", reported.per_second)
@@ -96,7 +96,7 @@
 }
 
 // The ledger and the permits at hand follow what is known.
-void LimitKeeper::ApplyChanges() {
+void LimitManager::ApplyChanges() {
   for (const std::string& server : book_.TakeChanged()) {
     const std::optional<double> limit = book_.Find(server);
     context_.metrics.Count("server_limit_changes_total");
@@ -115,12 +115,12 @@
   }
 }
 
-void LimitKeeper::Forget(const std::string& server) {
+void LimitManager::Forget(const std::string& server) {
   book_.Forget(server, context_.now);
   ApplyChanges();
 }
 
-std::string LimitKeeper::Describe(const std::string& server) const {
+std::string LimitManager::Describe(const std::string& server) const {
   return absl::StrFormat("%s takes %.3g requests a second, named %d ms ago",
                          server, book_.Find(server).value_or(0),
                          ToMillis(book_.Age(server, context_.now)));
@@ -128,20 +128,20 @@
 
 // ---- Permits ----
 
-LimitKeeper::Permit LimitKeeper::Acquire(const std::string& server,
-                                         const PermitRequest& wanted) {
+LimitManager::Permit LimitManager::Acquire(const std::string& server,
+                                           const PermitRequest& wanted) {
   if (gate_.TakeSpare(server, context_.now)) return Permit::kGranted;
   if (!ledger_ && !is_owner_heard_) {
-    const int hosts = told_hosts_ > 0 ? told_hosts_ : kAssumedHosts;
+    const int hosts = told_hosts_ > 0 ? told_hosts_ : kDefaultHostCount;
     const bool is_taken =
-        gate_.TryAlone(server, book_.Find(server).value_or(0), hosts,
-                       context_.random.Unit(), context_.now);
+        gate_.TrySendIsolated(server, book_.Find(server).value_or(0), hosts,
+                              context_.random.Unit(), context_.now);
     context_.metrics.Count(is_taken ? "server_limit_alone_total"
                                     : "server_limit_alone_held_total");
     return is_taken ? Permit::kGranted : Permit::kDenied;
   }
   if (asks_.size() >= kMostOpenAsks) return Permit::kDenied;
-  PermitAsk ask;
+  HostPermitRequest ask;
   ask.host = context_.settings.self.host;
   ask.id = ++last_ask_;
   ask.server = server;
@@ -162,11 +162,11 @@
   return Permit::kPending;
 }
 
-void LimitKeeper::ReturnPermit(const std::string& server) {
+void LimitManager::ReturnPermit(const std::string& server) {
   gate_.AddSpare(server, context_.now + kPermitLife);
 }
 
-void LimitKeeper::SendAsks() {
+void LimitManager::SendAsks() {
   if (unsent_.empty() || owner_.host.empty()) return;
   asks_sent_at_ = context_.now;
   Json body{{kToken, token_},
@@ -177,11 +177,12 @@
                          {PeerMessageType::kPermitRequest, std::move(body)}});
 }
 
-void LimitKeeper::TakeAsks(const std::string& host, const Json& body) {
+void LimitManager::HandlePermitRequests(const std::string& host,
+                                        const Json& body) {
   if (!ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   askers_[host] = FieldOr<std::string>(body, kAddress, "");
   for (const Json& row : body.value(kAsks, Json::array())) {
-    std::optional<PermitAsk> ask = ReadAsk(row);
+    std::optional<HostPermitRequest> ask = ReadAsk(row);
     if (!ask) continue;
     ask->host = host;
     ledger_->Ask(*ask, context_.now);
@@ -189,7 +190,7 @@
   SendAnswers();
 }
 
-void LimitKeeper::SendAnswers() {
+void LimitManager::SendAnswers() {
   std::map<std::string, Json> rows;
   for (const PermitAnswer& answer : ledger_->TakeAnswers()) {
     context_.metrics.Count(answer.is_granted ? "server_limit_grants_total"
@@ -210,7 +211,7 @@
   }
 }
 
-void LimitKeeper::TakeAnswers(const Json& body) {
+void LimitManager::TakeAnswers(const Json& body) {
   if (ledger_ || FieldOr<uint64_t>(body, kToken, 0) != token_) return;
   for (const Json& row : body.value(kAnswers, Json::array())) {
     if (const std::optional<PermitAnswer> answer = ReadAnswer(row)) {
@@ -219,7 +220,7 @@
   }
 }
 
-void LimitKeeper::TakeAnswer(const PermitAnswer& answer) {
+void LimitManager::TakeAnswer(const PermitAnswer& answer) {
   const auto it = asks_.find(answer.id);
   if (it == asks_.end()) return;
   const OpenAsk ask = std::move(it->second);
@@ -237,7 +238,7 @@
 }
 
 // The owner may have gone, or stands still.
-void LimitKeeper::GiveUpAsks() {
+void LimitManager::GiveUpAsks() {
   for (auto it = asks_.begin(); it != asks_.end();) {
     const auto next = std::next(it);
     if (it->second.give_up_at <= context_.now) {
@@ -252,17 +253,17 @@
 
 // ---- Between the hosts ----
 
-void LimitKeeper::StartPlanning(uint64_t& last_news) {
+void LimitManager::StartPlanning(uint64_t& last_news) {
   ledger_ = std::make_unique<PermitLedger>(told_hosts_);
   askers_.clear();
-  book_.RestartRows(last_news);
+  book_.RenumberRows(last_news);
   for (const auto& [server, per_second] : book_.Limits()) {
     ledger_->SetLimit(server, per_second, context_.now);
   }
 }
 
-void LimitKeeper::RunTick(const PeerAddress& owner, FencingToken token,
-                          bool is_heard) {
+void LimitManager::RunTick(const PeerAddress& owner, FencingToken token,
+                           bool is_heard) {
   if (token != token_) {
     // Another owner has another ledger.
     unsent_ = Json::array();
@@ -271,7 +272,7 @@
   owner_ = owner;
   token_ = token;
   is_owner_heard_ = is_heard && !owner.host.empty();
-  if (is_owner_heard_ || ledger_) told_hosts_ = context_.fleet_hosts;
+  if (is_owner_heard_ || ledger_) told_hosts_ = context_.entry_host_count;
   if (book_.empty() && asks_.empty()) return;
   if (ledger_) {
     ledger_->NoteHost(context_.settings.self.host, context_.now);
@@ -285,29 +286,29 @@
   GiveUpAsks();
 }
 
-Json LimitKeeper::ReportRows(FencingToken token, const EngineList& servers) {
+Json LimitManager::ReportRows(FencingToken token, const EngineList& servers) {
   return book_.ReportRows(token, servers, context_.now);
 }
 
-void LimitKeeper::NoteHost(const std::string& host) {
+void LimitManager::NoteHost(const std::string& host) {
   if (ledger_) ledger_->NoteHost(host, context_.now);
 }
 
-void LimitKeeper::TakeReport(const std::string& host, const Json& rows,
-                             const EngineList& servers) {
+void LimitManager::TakeReport(const std::string& host, const Json& rows,
+                              const EngineList& servers) {
   if (!ledger_) return;
   LogEvent(LogLevel::kDebug, "server_limits_reported").With("by", host);
   book_.TakeReport(rows, servers, context_.now);
   ApplyChanges();
 }
 
-void LimitKeeper::TakePlan(const Json& rows, FencingToken token,
-                           const EngineList& servers) {
+void LimitManager::TakePlan(const Json& rows, FencingToken token,
+                            const EngineList& servers) {
   book_.TakePlan(rows, token, servers, context_.now);
   ApplyChanges();
 }
 
-Json LimitKeeper::ToJson() const {
+Json LimitManager::ToJson() const {
   Json json{{"limits", book_.ToJson(context_.now)},
             {"asks", asks_.size()},
             {"owner_heard", is_owner_heard_},
--- a/node/limit_keeper.h
+++ b/node/limit_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_LIMIT_KEEPER_H_
-#define APPLEHALL_NODE_LIMIT_KEEPER_H_
+#ifndef APPLEHALL_NODE_LIMIT_MANAGER_H_
+#define APPLEHALL_NODE_LIMIT_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -10,7 +10,7 @@
 
 #include "admission/permit_gate.h"
 #include "admission/permit_ledger.h"
-#include "node/limit_book.h"
+#include "node/limit_registry.h"
 #include "node/node_context.h"
 
 namespace applehall {
@@ -22,14 +22,14 @@
 // hears no owner goes by its own part. What is known of limits travels with the
 // reports and plans of placement, permits in messages of their own: they cannot
 // wait for the next plan.
-class LimitKeeper {
+class LimitManager {
  public:
-  explicit LimitKeeper(NodeContext& context) : context_(context) {}
+  explicit LimitManager(NodeContext& context) : context_(context) {}
 
   // ---- What this host's requests say and want. Not thread-safe. ----
   // An answer of `server` to an attempt that was sent at `sent_at`.
-  void TakeReported(const std::string& server, const ReportedLimit& reported,
-                    TimePoint sent_at);
+  void ApplyReported(const std::string& server, const ReportedLimit& reported,
+                     TimePoint sent_at);
   bool IsLimited(const std::string& server) const {
     return book_.Find(server).has_value();
   }
@@ -44,7 +44,7 @@
     std::string caller;
     double worth = 1;
     bool is_background = false;
-    Duration patience{0};
+    Duration max_wait{0};
   };
   // A permit to send one request to `server`. Requires: IsLimited(server).
   Permit Acquire(const std::string& server, const PermitRequest& wanted);
@@ -74,7 +74,7 @@
   void TakeReport(const std::string& host, const Json& rows,
                   const EngineList& servers);
   // Another host was heard, at the owner.
-  void NoteHost(const std::string& host);
+  void RecordHostContact(const std::string& host);
   void NumberRows(uint64_t& last_news) { book_.NumberRows(last_news); }
   Json PlanRows(uint64_t since, const EngineList& servers) const {
     return book_.PlanRows(since, servers, context_.now);
@@ -82,8 +82,8 @@
   void TakePlan(const Json& rows, FencingToken token,
                 const EngineList& servers);
   // A host asks for permits, and the owner answers.
-  void TakeAsks(const std::string& host, const Json& body);
-  void TakeAnswers(const Json& body);
+  void HandlePermitRequests(const std::string& host, const Json& body);
+  void HandlePermitAnswers(const Json& body);
 
   // Requests a second that limited servers take, by server. Not thread-safe.
   std::map<std::string, double> Limits() const { return book_.Limits(); }
@@ -104,7 +104,7 @@
   void GiveUpAsks();
 
   NodeContext& context_;
-  LimitBook book_;
+  LimitRegistry book_;
   PermitGate gate_;
   std::unique_ptr<PermitLedger> ledger_;  // While this host is the owner.
   PeerAddress owner_;
@@ -122,4 +122,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_LIMIT_KEEPER_H_
+#endif  // APPLEHALL_NODE_LIMIT_MANAGER_H_
--- a/node/limit_book.cc
+++ b/node/limit_registry.cc
@@ -1,8 +1,8 @@
-#include "node/limit_book.h"
-
 #include <algorithm>
 #include <cmath>
 
+#include "node/limit_registry.h"
+
 namespace applehall {
 namespace {
 
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-void LimitBook::Set(const std::string& server, Entry& entry,
-                    std::optional<double> per_second, TimePoint now) {
+void LimitRegistry::Set(const std::string& server, Entry& entry,
+                        std::optional<double> per_second, TimePoint now) {
   if (entry.per_second != per_second) changed_.push_back(server);
   entry.per_second = per_second;
   entry.known_since = now;
@@ -28,9 +28,9 @@
 // A lower limit counts at once, whoever says it. A higher one, or none, may be
 // in an answer that is older than what is known, unless its request was sent
 // later.
-bool LimitBook::TakeReported(const std::string& server,
-                             const ReportedLimit& reported, TimePoint sent_at,
-                             TimePoint now) {
+bool LimitRegistry::ApplyReported(const std::string& server,
+                                  const ReportedLimit& reported,
+                                  TimePoint sent_at, TimePoint now) {
   using Kind = ReportedLimit::Kind;
   if (reported.kind == Kind::kUnknown || reported.kind == Kind::kMalformed) {
     return false;
@@ -61,7 +61,7 @@
   return true;
 }
 
-void LimitBook::Forget(const std::string& server, TimePoint now) {
+void LimitRegistry::Forget(const std::string& server, TimePoint now) {
   if (lives_.size() >= kMostLives) lives_.clear();
   lives_[server] = now;
   const auto it = entries_.find(server);
@@ -70,7 +70,7 @@
   entries_.erase(it);
 }
 
-void LimitBook::Expire(TimePoint now) {
+void LimitRegistry::Expire(TimePoint now) {
   for (auto it = entries_.begin(); it != entries_.end();) {
     const auto next = std::next(it);
     Entry& entry = it->second;
@@ -87,12 +87,12 @@
   }
 }
 
-std::optional<double> LimitBook::Find(const std::string& server) const {
+std::optional<double> LimitRegistry::Find(const std::string& server) const {
   const auto it = entries_.find(server);
   return it == entries_.end() ? std::nullopt : it->second.per_second;
 }
 
-std::map<std::string, double> LimitBook::Limits() const {
+std::map<std::string, double> LimitRegistry::Limits() const {
   std::map<std::string, double> limits;
   for (const auto& [server, entry] : entries_) {
     if (entry.per_second) limits[server] = *entry.per_second;
@@ -100,16 +100,16 @@
   return limits;
 }
 
-Duration LimitBook::Age(const std::string& server, TimePoint now) const {
+Duration LimitRegistry::Age(const std::string& server, TimePoint now) const {
   const auto it = entries_.find(server);
   return it == entries_.end() ? Duration{0} : now - it->second.named_at;
 }
 
 // ---- Between the hosts ----
 
-Json LimitBook::RowJson(const std::string& server, const Entry& entry,
-                        uint64_t version, const EngineList& servers,
-                        TimePoint now) {
+Json LimitRegistry::RowJson(const std::string& server, const Entry& entry,
+                            uint64_t version, const EngineList& servers,
+                            TimePoint now) {
   const auto listed = servers.find(server);
   const int64_t started =
       listed == servers.end() ? 0 : ToUnixMillis(listed->second.started_at);
@@ -117,7 +117,7 @@
                       ToMillis(now - entry.named_at), version});
 }
 
-std::optional<LimitBook::Row> LimitBook::ReadRow(const Json& json) {
+std::optional<LimitRegistry::Row> LimitRegistry::ReadRow(const Json& json) {
   const bool is_row = json.is_array() && json.size() == 5 &&
                       json[0].is_string() && json[1].is_number_integer() &&
                       json[2].is_number() && json[3].is_number_integer() &&
@@ -134,19 +134,19 @@
   return row;
 }
 
-bool LimitBook::IsOfEarlierLife(const Row& row, const EngineList& servers) {
+bool LimitRegistry::IsOfEarlierLife(const Row& row, const EngineList& servers) {
   const auto listed = servers.find(row.server);
   return listed != servers.end() &&
          StartedAfter(listed->second.started_at, row.started_at);
 }
 
-bool LimitBook::HasNewRows() const {
+bool LimitRegistry::HasNewRows() const {
   return std::any_of(entries_.begin(), entries_.end(),
                      [](const auto& item) { return item.second.is_unsent; });
 }
 
-Json LimitBook::ReportRows(FencingToken token, const EngineList& servers,
-                           TimePoint now) {
+Json LimitRegistry::ReportRows(FencingToken token, const EngineList& servers,
+                               TimePoint now) {
   Json rows = Json::array();
   for (auto& [server, entry] : entries_) {
     if (entry.token != token) {
@@ -167,8 +167,8 @@
   return rows;
 }
 
-void LimitBook::TakeReport(const Json& rows, const EngineList& servers,
-                           TimePoint now) {
+void LimitRegistry::TakeReport(const Json& rows, const EngineList& servers,
+                               TimePoint now) {
   if (!rows.is_array()) return;
   for (const Json& json : rows) {
     const std::optional<Row> row = ReadRow(json);
@@ -197,7 +197,7 @@
   }
 }
 
-void LimitBook::NumberRows(uint64_t& last_news) {
+void LimitRegistry::NumberRows(uint64_t& last_news) {
   for (const std::string& server : std::exchange(unnumbered_, {})) {
     const auto it = entries_.find(server);
     if (it == entries_.end()) continue;
@@ -207,14 +207,14 @@
   }
 }
 
-void LimitBook::RestartRows(uint64_t& last_news) {
+void LimitRegistry::RenumberRows(uint64_t& last_news) {
   unnumbered_.clear();
   for (auto& [server, entry] : entries_) unnumbered_.insert(server);
   NumberRows(last_news);
 }
 
-Json LimitBook::PlanRows(uint64_t since, const EngineList& servers,
-                         TimePoint now) const {
+Json LimitRegistry::PlanRows(uint64_t since, const EngineList& servers,
+                             TimePoint now) const {
   Json rows = Json::array();
   for (const auto& [server, entry] : entries_) {
     if (entry.version <= since) continue;
@@ -223,8 +223,8 @@
   return rows;
 }
 
-void LimitBook::TakePlan(const Json& rows, FencingToken token,
-                         const EngineList& servers, TimePoint now) {
+void LimitRegistry::TakePlan(const Json& rows, FencingToken token,
+                             const EngineList& servers, TimePoint now) {
   if (!rows.is_array()) return;
   for (const Json& json : rows) {
     const std::optional<Row> row = ReadRow(json);
@@ -246,7 +246,7 @@
   }
 }
 
-Json LimitBook::ToJson(TimePoint now) const {
+Json LimitRegistry::ToJson(TimePoint now) const {
   Json json = Json::object();
   for (const auto& [server, entry] : entries_) {
     if (!entry.per_second) continue;
--- a/node/limit_book.h
+++ b/node/limit_registry.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_LIMIT_BOOK_H_
-#define APPLEHALL_NODE_LIMIT_BOOK_H_
+#ifndef APPLEHALL_NODE_LIMIT_REGISTRY_H_
+#define APPLEHALL_NODE_LIMIT_REGISTRY_H_
 
 #include <map>
 #include <optional>
@@ -22,13 +22,13 @@
 // order. So each limit has the owner's version of it, a host reports what an
 // answer says together with the version that it knew when it sent the request,
 // and the owner takes only words on its newest version.
-class LimitBook {
+class LimitRegistry {
  public:
   // ---- What answers say. Not thread-safe, as all below. ----
   // An answer of `server` to a request that was sent at `sent_at`. True if that
   // changes its limit here.
-  bool TakeReported(const std::string& server, const ReportedLimit& reported,
-                    TimePoint sent_at, TimePoint now);
+  bool ApplyReported(const std::string& server, const ReportedLimit& reported,
+                     TimePoint sent_at, TimePoint now);
   // It left, or what is listed under its id is a later life: a limit ends with
   // the life that named it.
   void Forget(const std::string& server, TimePoint now);
@@ -58,7 +58,7 @@
   // last number given is `last_news`.
   void NumberRows(uint64_t& last_news);
   // Numbers all that is known, for a new owner's first plans.
-  void RestartRows(uint64_t& last_news);
+  void RenumberRows(uint64_t& last_news);
   // The rows of a plan with the news after `since`.
   Json PlanRows(uint64_t since, const EngineList& servers, TimePoint now) const;
   // The rows of a plan of the owner under `token`.
@@ -105,4 +105,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_LIMIT_BOOK_H_
+#endif  // APPLEHALL_NODE_LIMIT_REGISTRY_H_
--- a/node/log_writer.cc
+++ b/node/log_writer.cc
@@ -27,7 +27,7 @@
   context_.Emit(AppendRecord{kControlStream, id, body.dump()});
 }
 
-void LogWriter::Ended(const std::string& record_id) {
+void LogWriter::HandleAppendEnd(const std::string& record_id) {
   // A matter may be written again from here on, even before its record is read
   // back; the fold judges a second one by its token and ignores it.
   std::erase_if(under_way_, [&](const auto& entry) {
--- a/node/log_writer.h
+++ b/node/log_writer.h
@@ -19,7 +19,7 @@
   // thread-safe.
   void Append(const std::string& matter, Json body);
   // An append ended, one way or another. Not thread-safe.
-  void Ended(const std::string& record_id);
+  void HandleAppendEnd(const std::string& record_id);
   // A new id for a record of this node. Not thread-safe.
   std::string NextId();
 
--- a/node/messages.h
+++ b/node/messages.h
@@ -44,7 +44,7 @@
 };
 
 // The caller closed its connection.
-struct CallerGone {
+struct CallerDisconnected {
   RequestHandle handle = 0;
 };
 
@@ -111,17 +111,17 @@
 };
 
 // An engine answered an order with its inventory.
-struct EngineAnswered {
+struct InventoryReceived {
   Inventory inventory;
   TimePoint asked_at;
 };
 
-struct LogRead {
+struct LogBatchRead {
   LogBatch batch;
 };
 
 // A read or append failed because the log service does not answer.
-struct LogFailed {};
+struct LogUnavailable {};
 
 struct AppendEnded {
   std::string record_id;
@@ -152,7 +152,7 @@
 };
 
 // News of the listed backend servers.
-struct ServersListed {
+struct ServerListRead {
   bool is_whole = false;  // `listed` are all there are.
   std::vector<ListedServer> listed;
   std::vector<std::string> gone;
@@ -165,7 +165,7 @@
 
 // A question to the store about one topic was answered, or another host's news
 // of it were taken over.
-struct StoreNewsRead {
+struct StoreUpdatesRead {
   std::string topic = {};
   LogOffset from = 0;
   LogOffset next = 0;        // The first offset that is not in `records`.
@@ -228,12 +228,13 @@
 struct Tick {};
 
 using Event =
-    std::variant<RequestArrived, CallerGone, AttemptStarted, AttemptEnded,
-                 EngineAnswered, LogRead, LogFailed, AppendEnded, HostListRead,
-                 HostListConfirmed, CatalogueRead, PeerMessageReceived,
-                 DrainRequested, Tick, RuleSetRead, ServersListed, StoreReached,
-                 LeaseRead, LeaseAppendEnded, OrderAnswered, StoreNewsRead,
-                 ServerProbed, QuarantineRead, QuarantineAppendEnded>;
+    std::variant<RequestArrived, CallerDisconnected, AttemptStarted,
+                 AttemptEnded, InventoryReceived, LogBatchRead, LogUnavailable,
+                 AppendEnded, HostListRead, HostListConfirmed, CatalogueRead,
+                 PeerMessageReceived, DrainRequested, Tick, RuleSetRead,
+                 ServerListRead, StoreReached, LeaseRead, LeaseAppendEnded,
+                 OrderAnswered, StoreUpdatesRead, ServerProbed, QuarantineRead,
+                 QuarantineAppendEnded>;
 
 // ---- Actions: what a node wants done. ----
 
@@ -260,8 +261,8 @@
 };
 
 // How the attempt that `sent` began has ended.
-inline AttemptEnded EndOf(const DispatchRequest& sent, AttemptResult result,
-                          std::string detail) {
+inline AttemptEnded MakeAttemptEnd(const DispatchRequest& sent,
+                                   AttemptResult result, std::string detail) {
   AttemptEnded ended;
   ended.handle = sent.handle;
   ended.attempt = sent.attempt;
@@ -271,9 +272,10 @@
 }
 
 // Its connection failed after the request was sent.
-inline AttemptEnded BrokenOff(const DispatchRequest& sent, std::string detail,
-                              bool is_cut) {
-  AttemptEnded ended = EndOf(sent, AttemptResult::kBroken, std::move(detail));
+inline AttemptEnded MakeBrokenAttemptEnd(const DispatchRequest& sent,
+                                         std::string detail, bool is_cut) {
+  AttemptEnded ended =
+      MakeAttemptEnd(sent, AttemptResult::kBroken, std::move(detail));
   ended.is_cut = is_cut;
   return ended;
 }
@@ -335,14 +337,14 @@
 };
 
 // Whether this host asks the store for news itself.
-struct FollowStore {
+struct SetStorePolling {
   bool is_reading = true;
   // As of when all topics are known here, by whomever.
   TimePoint as_of;
 };
 
 // News of the store that another host has read.
-struct TakeStoreNews {
+struct ApplyStoreUpdates {
   std::string topic;
   LogOffset from = 0;
   LogOffset next = 0;
@@ -361,7 +363,7 @@
 using Action =
     std::variant<DispatchRequest, CancelAttempt, RefuseRequest, SendOrder,
                  AppendRecord, SendPeer, SendPeers, Drained, ReadLease,
-                 AppendLease, FollowStore, TakeStoreNews, ProbeServer,
+                 AppendLease, SetStorePolling, ApplyStoreUpdates, ProbeServer,
                  ReadQuarantine, AppendQuarantine>;
 
 }  // namespace applehall
--- a/node/node.cc
+++ b/node/node.cc
@@ -83,7 +83,7 @@
          (flow_.has_read_claims() || context_.IsLogDown());
 }
 
-void Node::On(const EngineAnswered& event) {
+void Node::On(const InventoryReceived& event) {
   if (IsFleet()) {
     fleet_.TakeInventory(event.inventory, event.asked_at);
     return;
@@ -92,18 +92,18 @@
   flow_.PumpAll();
 }
 
-void Node::On(const LogRead& event) {
+void Node::On(const LogBatchRead& event) {
   context_.log_answered_at = context_.now;
   context_.log_failed = false;
   if (event.batch.stream == kClaimsStream) {
-    flow_.TakeClaims(event.batch);
+    flow_.HandleClaims(event.batch);
     return;
   }
   context_.control.Apply(event.batch);
   ControlChanged();
 }
 
-void Node::On(const LogFailed&) {
+void Node::On(const LogUnavailable&) {
   if (!context_.log_failed) LogEvent(LogLevel::kWarning, "store_lost");
   context_.log_failed = true;
   context_.log_failed_at = context_.now;
@@ -114,7 +114,8 @@
 // that had come by the last tick was taken in then, so an answer that is taken
 // in now was written after it, and nothing later is proven.
 void Node::On(const StoreReached&) {
-  context_.NoteLogAnswer(last_tick_ == TimePoint{} ? context_.now : last_tick_);
+  context_.RecordLogResponse(last_tick_ == TimePoint{} ? context_.now
+                                                       : last_tick_);
 }
 
 void Node::On(const RuleSetRead& event) {
@@ -135,16 +136,16 @@
   ControlChanged();
 }
 
-void Node::On(const ServersListed& event) {
-  fleet_.TakeServers(event);
+void Node::On(const ServerListRead& event) {
+  fleet_.HandleServerList(event);
   flow_.PumpAll();
 }
 
 void Node::On(const AppendEnded& event) {
-  writer_.Ended(event.record_id);
+  writer_.HandleAppendEnd(event.record_id);
   if (event.is_appended) return;
   context_.metrics.Count("log_appends_unanswered_total");
-  flow_.ClaimAppendFailed(event.record_id);
+  flow_.HandleClaimAppendFailed(event.record_id);
 }
 
 void Node::On(const HostListRead& event) {
@@ -202,14 +203,14 @@
     context_.catalogue[entry.name] = entry;
   }
   context_.engine_classes = event.engine_classes;
-  fleet_.CatalogueChanged();
+  fleet_.HandleCatalogueChange();
 }
 
 void Node::On(const PeerMessageReceived& event) {
   const Json& body = event.message.body;
   switch (event.message.type) {
     case PeerMessageType::kGossip:
-      gossip_.Take(event.host, body);
+      gossip_.HandleGossip(event.host, body);
       flow_.PumpAll();
       return;
     case PeerMessageType::kControl:
@@ -226,20 +227,20 @@
       return;
     }
     case PeerMessageType::kDemandAnswer:
-      flow_.TakeDemandAnswer(DemandAnswerFrom(body));
+      flow_.HandleDemandAnswer(DemandAnswerFrom(body));
       return;
     case PeerMessageType::kStoreBorrow:
-      groups_.TakeStoreBorrow(event.host, body);
+      groups_.HandleStoreBorrow(event.host, body);
       return;
     case PeerMessageType::kStoreGrant:
-      groups_.TakeStoreGrant(body);
+      groups_.HandleStoreGrant(body);
       return;
     case PeerMessageType::kFleetReport:
-      fleet_.TakeHostReport(event.host, body);
+      fleet_.HandleHostReport(event.host, body);
       return;
     case PeerMessageType::kFleetPlan:
       for (const DemandAnswer& answer : fleet_.TakePlan(event.host, body)) {
-        flow_.TakeDemandAnswer(answer);
+        flow_.HandleDemandAnswer(answer);
       }
       flow_.PumpAll();
       return;
@@ -248,19 +249,19 @@
       return;
     case PeerMessageType::kStoreUpdates:
       relay_.TakeRelayed(event.host, body);
-      fleet_.NoteOwner(StoreRelay::OwnerIn(body));
+      fleet_.RecordOwner(StoreRelay::OwnerIn(body));
       return;
     case PeerMessageType::kQuotaUsage:
-      quotas_.TakeCentreUsage(event.host, body);
+      quotas_.HandleCentreUsage(event.host, body);
       return;
     case PeerMessageType::kQuotaShareUpdate:
-      quotas_.TakeCentreWord(body);
+      quotas_.HandleCentreShares(body);
       return;
     case PeerMessageType::kPermitRequest:
-      limits_.TakeAsks(event.host, body);
+      limits_.HandlePermitRequests(event.host, body);
       return;
     case PeerMessageType::kPermitAnswer:
-      limits_.TakeAnswers(body);
+      limits_.HandlePermitAnswers(body);
       return;
   }
 }
@@ -278,7 +279,7 @@
   if (IsFleet()) {
     flow_.RunTick();
     for (const DemandAnswer& answer : fleet_.RunTick()) {
-      flow_.TakeDemandAnswer(answer);
+      flow_.HandleDemandAnswer(answer);
     }
     flow_.PumpAll();
     relay_.SetReader(fleet_.reader());
@@ -288,7 +289,7 @@
     FinishDrain();
     return;
   }
-  quarantine_.RunTick(/*is_owner=*/false, /*hears_owner=*/false);
+  quarantine_.RunTick(/*is_owner=*/false, /*is_owner_reachable=*/false);
   groups_.RunTick();
   flow_.RunTick();
   gossip_.RunTick();
@@ -321,7 +322,7 @@
   if (!context_.control.is_based() || context_.control.next_offset() <= 1) {
     return;
   }
-  const Duration after = context_.settings.carry_after;
+  const Duration after = context_.settings.max_snapshot_age;
   // Hosts start their clocks apart, so that mostly one of them writes.
   const Duration stagger =
       after / 10 * (StableHash(context_.settings.self.host) % 8) / 8;
@@ -336,15 +337,15 @@
 void Node::FinishDrain() {
   if (!context_.is_draining || is_drained_) return;
   const Duration took = context_.now - context_.drain_began;
-  const bool is_over = took >= context_.settings.drain_bound;
+  const bool is_over = took >= context_.settings.max_drain;
   if (IsFleet()) {
-    const Duration bound = context_.settings.drain_bound;
+    const Duration bound = context_.settings.max_drain;
     if (took >= bound * 2 / 3) flow_.RefuseOpen(/*with_sent=*/is_over);
   }
   const bool is_released =
-      IsFleet() ? fleet_.IsReleased() : !groups_.HoldsAny();
+      IsFleet() ? fleet_.IsReleased() : !groups_.OwnsAnyGroup();
   const bool is_done = flow_.open_requests() == 0 && is_released &&
-                       took >= context_.settings.drain_least;
+                       took >= context_.settings.min_drain;
   if (!is_done && !is_over) return;
   is_drained_ = true;
   LogEvent(is_done ? LogLevel::kInfo : LogLevel::kWarning, "drain_end")
--- a/node/node.h
+++ b/node/node.h
@@ -4,14 +4,14 @@
 #include <string>
 #include <vector>
 
-#include "node/fleet_keeper.h"
+#include "node/fleet_manager.h"
 #include "node/gossip.h"
-#include "node/group_keeper.h"
-#include "node/limit_keeper.h"
+#include "node/group_manager.h"
+#include "node/limit_manager.h"
 #include "node/log_writer.h"
 #include "node/node_context.h"
-#include "node/quarantine_keeper.h"
-#include "node/quota_keeper.h"
+#include "node/quarantine_manager.h"
+#include "node/quota_manager.h"
 #include "node/request_flow.h"
 #include "node/store_relay.h"
 
@@ -55,14 +55,16 @@
   const StoreRelay& relay() const { return relay_; }
 
  private:
-  void On(const RequestArrived& event) { flow_.Arrive(event); }
-  void On(const CallerGone& event) { flow_.CallerLeft(event); }
-  void On(const AttemptStarted& event) { flow_.Started(event); }
-  void On(const AttemptEnded& event) { flow_.Ended(event); }
+  void On(const RequestArrived& event) { flow_.HandleArrival(event); }
+  void On(const CallerDisconnected& event) {
+    flow_.HandleCallerDisconnected(event);
+  }
+  void On(const AttemptStarted& event) { flow_.HandleAttemptStarted(event); }
+  void On(const AttemptEnded& event) { flow_.HandleAttemptEnded(event); }
   void On(const ServerProbed& event) { flow_.TakeProbe(event); }
-  void On(const EngineAnswered& event);
-  void On(const LogRead& event);
-  void On(const LogFailed& event);
+  void On(const InventoryReceived& event);
+  void On(const LogBatchRead& event);
+  void On(const LogUnavailable& event);
   void On(const AppendEnded& event);
   void On(const HostListRead& event);
   void On(const HostListConfirmed& event) {
@@ -71,12 +73,12 @@
   void On(const CatalogueRead& event);
   void On(const PeerMessageReceived& event);
   void On(const RuleSetRead& event);
-  void On(const ServersListed& event);
+  void On(const ServerListRead& event);
   void On(const StoreReached& event);
-  void On(const LeaseRead& event) { fleet_.TakeLease(event); }
+  void On(const LeaseRead& event) { fleet_.HandleLeaseRead(event); }
   void On(const LeaseAppendEnded& event) { fleet_.TakeAppendEnd(event); }
   void On(const OrderAnswered& event) { fleet_.TakeOrderResult(event); }
-  void On(const StoreNewsRead& event) { relay_.TakeNews(event); }
+  void On(const StoreUpdatesRead& event) { relay_.TakeNews(event); }
   void On(const QuarantineRead& event) { quarantine_.TakeRead(event); }
   void On(const QuarantineAppendEnded& event) {
     quarantine_.TakeAppendEnd(event);
@@ -94,12 +96,12 @@
 
   NodeContext context_;
   LogWriter writer_;
-  GroupKeeper groups_;
+  GroupManager groups_;
   Gossip gossip_;
-  QuarantineKeeper quarantine_;
-  QuotaKeeper quotas_;
-  LimitKeeper limits_;
-  FleetKeeper fleet_;
+  QuarantineManager quarantine_;
+  QuotaManager quotas_;
+  LimitManager limits_;
+  FleetManager fleet_;
   RequestFlow flow_;
   StoreRelay relay_;
   LogOffset bounds_version_ = 0;
--- a/node/node_context.cc
+++ b/node/node_context.cc
@@ -12,10 +12,10 @@
 
 }  // namespace
 
-void NodeContext::NoteLogAnswer(TimePoint when) {
+void NodeContext::RecordLogResponse(TimePoint when) {
   const Duration silent = when - log_answered_at;
   if (log_failed && silent >= kOutage) {
-    log_back_at = now;
+    log_recovered_at = now;
     LogEvent(LogLevel::kInfo, "store_back").With("silent_ms", ToMillis(silent));
   }
   log_failed = false;
--- a/node/node_context.h
+++ b/node/node_context.h
@@ -13,7 +13,7 @@
 #include "node/decision_log.h"
 #include "node/messages.h"
 #include "node/node_settings.h"
-#include "node/topic_proofs.h"
+#include "node/topic_freshness.h"
 #include "routing/engine_view.h"
 #include "rules/replica_bounds.h"
 
@@ -45,15 +45,15 @@
   bool is_draining = false;
   TimePoint drain_began;
   // Entry hosts that share the placement owner; at least this many until told.
-  int fleet_hosts = 8;
+  int entry_host_count = 8;
 
   // As of when the topics of the store are known here.
-  TopicProofs news;
+  TopicFreshness news;
   // Whether the log service answered lately.
   TimePoint log_answered_at;
   bool log_failed = false;
-  TimePoint log_failed_at;  // The last failure of a call.
-  TimePoint log_back_at;    // When it answered again after a failure.
+  TimePoint log_failed_at;     // The last failure of a call.
+  TimePoint log_recovered_at;  // When it answered again after a failure.
 
   TimePoint now;
   std::vector<Action>* actions = nullptr;
@@ -61,7 +61,7 @@
   void Emit(Action action) { actions->push_back(std::move(action)); }
 
   // The log service, or the store, answered as of `when`, which may lie back.
-  void NoteLogAnswer(TimePoint when);
+  void RecordLogResponse(TimePoint when);
   bool IsLogDown() const {
     return log_failed || now - log_answered_at > settings.log_down_after;
   }
--- a/node/node_settings.h
+++ b/node/node_settings.h
@@ -6,7 +6,7 @@
 #include "admission/quota_types.h"
 #include "claims/claim_guard.h"
 #include "core/policy_set.h"
-#include "node/news_budget.h"
+#include "node/freshness_budget.h"
 #include "placement/engine_owner.h"
 #include "placement/ownership_table.h"
 
@@ -31,7 +31,7 @@
   OwnerSettings owner;
   ClaimSettings claims;
   Duration gossip_interval = std::chrono::milliseconds(500);
-  Duration gossip_least_interval = std::chrono::milliseconds(50);
+  Duration min_gossip_interval = std::chrono::milliseconds(50);
   Duration demand_interval = std::chrono::milliseconds(200);
   // An owner not heard of for this long may be replaced.
   Duration owner_lease = std::chrono::seconds(4);
@@ -39,12 +39,12 @@
   Duration host_list_lag = std::chrono::seconds(5);
   Duration log_down_after = std::chrono::seconds(2);
   // Carry the state forward when its record is this old.
-  Duration carry_after = std::chrono::minutes(10);
-  Duration drain_bound = std::chrono::seconds(60);
+  Duration max_snapshot_age = std::chrono::minutes(10);
+  Duration max_drain = std::chrono::seconds(60);
   double store_loads_per_second = 2.0;
   double store_slots = 4.0;
-  size_t most_in_flight_per_caller = 2000;
-  size_t most_requests = 20000;
+  size_t max_in_flight_per_caller = 2000;
+  size_t max_open_requests = 20000;
   size_t decisions_kept = 2000;
   uint64_t seed = 1;
 
@@ -62,10 +62,10 @@
   double retry_slack = 50;
   QuotaTolerance quota_tolerance;
   // From the store's acknowledgement to a change in force here.
-  NewsBudget news = NewsBudget::Within(std::chrono::seconds(2));
+  FreshnessBudget news = FreshnessBudget::Within(std::chrono::seconds(2));
   // The platform takes some time to send callers elsewhere; until then a
   // draining host serves them.
-  Duration drain_least{0};
+  Duration min_drain{0};
   bool serves_while_draining = false;
   PolicySet policies;
 };
--- a/node/placement_lease.cc
+++ b/node/placement_lease.cc
@@ -94,7 +94,7 @@
   unsure_since_ = context_.now;
 }
 
-void PlacementLease::NoteOwner(const KnownOwner& owner) {
+void PlacementLease::RecordOwner(const KnownOwner& owner) {
   if (owner.peer.host.empty() || owner.token <= token_) return;
   if (owner.token < told_token_) return;
   // There is a newer holder: read who. Until the store can be reached, what is
@@ -119,7 +119,7 @@
 
 void PlacementLease::NoteSignOfLife(const PeerAddress& host,
                                     FencingToken token) {
-  NoteOwner({host, token});
+  RecordOwner({host, token});
   if (Owner().host == host.host) heard_at_ = context_.now;
 }
 
@@ -224,7 +224,7 @@
   // first. Claims at the end of each cut stopped all loads for the two seconds
   // of a takeover.
   const TimePoint heard =
-      std::max({heard_at_, since_, listed_at_, context_.log_back_at});
+      std::max({heard_at_, since_, listed_at_, context_.log_recovered_at});
   const Duration silence = is_free ? Duration{0} : kOwnerSilence;
   if (context_.now - heard < silence + ClaimStagger()) return;
   if (!can_place) return;  // Nothing to place; let another host do it.
--- a/node/placement_lease.h
+++ b/node/placement_lease.h
@@ -30,7 +30,7 @@
   void NoteSignOfLife(const PeerAddress& host, FencingToken token);
   // Another host knows of this holder. It is no sign of life, but a host that
   // the store refuses learns whom to report to. Not thread-safe.
-  void NoteOwner(const KnownOwner& owner);
+  void RecordOwner(const KnownOwner& owner);
   // The newest holder this host knows of, itself included. Not thread-safe.
   KnownOwner NewestOwner() const;
   // The holder under `token` orders nothing more. Not thread-safe.
--- a/node/quarantine_keeper.cc
+++ b/node/quarantine_manager.cc
@@ -1,4 +1,4 @@
-#include "node/quarantine_keeper.h"
+#include "node/quarantine_manager.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -37,8 +37,8 @@
 
 // ---- What this host's requests say ----
 
-void QuarantineKeeper::NoteEnd(const std::string& server,
-                               const std::vector<CutRequest>& cuts) {
+void QuarantineManager::RecordEnd(const std::string& server,
+                                  const std::vector<CutRequest>& cuts) {
   context_.metrics.Count("servers_ended_total");
   std::vector<ServerEnd> ends;
   for (const CutRequest& cut : cuts) {
@@ -64,12 +64,12 @@
   writer_.Append(absl::StrCat("end/", server), ServerEndRecord(ends));
 }
 
-bool QuarantineKeeper::HasCompletedLately(uint64_t fingerprint) const {
+bool QuarantineManager::HasCompletedLately(uint64_t fingerprint) const {
   const auto it = completed_.find(fingerprint);
   return it != completed_.end() && context_.now - it->second <= kCompletedLife;
 }
 
-void QuarantineKeeper::NoteCompleted(uint64_t fingerprint) {
+void QuarantineManager::RecordCompleted(uint64_t fingerprint) {
   if (fingerprint == 0) return;
   const auto [it, is_new] = completed_.insert({fingerprint, context_.now});
   it->second = context_.now;
@@ -89,7 +89,7 @@
                  ContentClearedRecord(fingerprint));
 }
 
-QuarantineKeeper::Standing QuarantineKeeper::StandingOf(
+QuarantineManager::Standing QuarantineManager::StandingOf(
     uint64_t fingerprint) const {
   if (Holds(fingerprint)) return Standing::kQuarantined;
   const bool is_suspect = suspects_.contains(fingerprint) ||
@@ -98,7 +98,7 @@
   return is_suspect ? Standing::kSuspect : Standing::kClear;
 }
 
-bool QuarantineKeeper::Clear(uint64_t fingerprint) {
+bool QuarantineManager::Clear(uint64_t fingerprint) {
   const Standing before = StandingOf(fingerprint);
   ledger_.Clear(fingerprint);
   suspects_.erase(fingerprint);
@@ -114,11 +114,11 @@
   return true;
 }
 
-void QuarantineKeeper::Lift(uint64_t fingerprint) {
+void QuarantineManager::Lift(uint64_t fingerprint) {
   if (Clear(fingerprint) && IsFleet()) unreleased_.insert(fingerprint);
 }
 
-void QuarantineKeeper::Judge(const ServerEnd& end, const std::string& host) {
+void QuarantineManager::Judge(const ServerEnd& end, const std::string& host) {
   if (end.fingerprint == 0 || Holds(end.fingerprint)) return;
   switch (ledger_.Record(end, context_.now)) {
     case CrashLedger::Finding::kNothing:
@@ -130,7 +130,7 @@
       break;
   }
   unrecorded_.insert(end.fingerprint);
-  const TimePoint until = context_.now + kQuarantineLife;
+  const TimePoint until = context_.now + kQuarantineTtl;
   Add(end.fingerprint, until,
       absl::StrCat("server ", end.server, " seen by ", host));
   if (is_owner_) return;
@@ -140,14 +140,14 @@
         .at = until});
 }
 
-void QuarantineKeeper::Add(uint64_t fingerprint, TimePoint until,
-                           const std::string& source) {
+void QuarantineManager::Add(uint64_t fingerprint, TimePoint until,
+                            const std::string& source) {
   // Hosts' clocks differ; none may hold a content for longer than the rest.
-  const TimePoint latest = context_.now + kQuarantineLife;
+  const TimePoint latest = context_.now + kQuarantineTtl;
   const bool was_held = Holds(fingerprint);
   if (!quarantine_.Add(fingerprint, std::min(until, latest))) return;
   if (was_held) return;
-  ledger_.Convict(fingerprint, context_.now);
+  ledger_.MarkProven(fingerprint, context_.now);
   suspects_.erase(fingerprint);
   unreleased_.erase(fingerprint);
   added_.push_back(fingerprint);
@@ -161,14 +161,14 @@
 
 // ---- Between the hosts ----
 
-void QuarantineKeeper::Tell(ServerEndRow row) {
+void QuarantineManager::Tell(ServerEndRow row) {
   if (!IsFleet()) return;
   LogDropped(reports_.Add(std::move(row)), "table full");
 }
 
 // Other hosts will not count what is dropped here. An owner has counted its
 // own.
-void QuarantineKeeper::LogDropped(size_t rows, const char* reason) {
+void QuarantineManager::LogDropped(size_t rows, const char* reason) {
   if (rows == 0 || is_owner_) return;
   context_.metrics.Count("server_end_rows_dropped_total", rows);
   LogEvent(LogLevel::kWarning, "server_end_rows_dropped")
@@ -177,11 +177,12 @@
       .With("owed", reports_.owed());
 }
 
-Json QuarantineKeeper::TakeReportRows(FencingToken token) {
+Json QuarantineManager::BuildReportRows(FencingToken token) {
   return reports_.Take(token, context_.now);
 }
 
-void QuarantineKeeper::TakeReport(const std::string& host, const Json& report) {
+void QuarantineManager::TakeReport(const std::string& host,
+                                   const Json& report) {
   const auto rows = inbox_.Take(host, report, context_.now);
   if (!rows) {
     context_.metrics.Count("malformed_reports_total");
@@ -192,8 +193,8 @@
   for (const ServerEndRow& row : *rows) TakeRow(host, row);
 }
 
-void QuarantineKeeper::TakeRow(const std::string& host,
-                               const ServerEndRow& row) {
+void QuarantineManager::TakeRow(const std::string& host,
+                                const ServerEndRow& row) {
   switch (row.kind) {
     case ServerEndRow::Kind::kEnd:
     case ServerEndRow::Kind::kLateEnd: {
@@ -212,7 +213,7 @@
   }
 }
 
-void QuarantineKeeper::NumberRows(uint64_t& last_news) {
+void QuarantineManager::NumberRows(uint64_t& last_news) {
   for (const uint64_t fingerprint : std::exchange(changed_, {})) {
     Told& told = told_[fingerprint];
     told.news = ++last_news;
@@ -223,12 +224,12 @@
   // one.
   std::erase_if(told_, [this](const auto& item) {
     const Duration life =
-        item.second.was_quarantined ? kQuarantineLife : kSuspectLife;
+        item.second.was_quarantined ? kQuarantineTtl : kSuspectLife;
     return !Holds(item.first) && context_.now - item.second.at > life;
   });
 }
 
-void QuarantineKeeper::RestartRows(uint64_t& last_news) {
+void QuarantineManager::RenumberRows(uint64_t& last_news) {
   told_.clear();
   for (const auto& [fingerprint, until] : quarantine_.entries()) {
     changed_.insert(fingerprint);
@@ -236,7 +237,7 @@
   NumberRows(last_news);
 }
 
-Json QuarantineKeeper::PlanRows(uint64_t since) const {
+Json QuarantineManager::PlanRows(uint64_t since) const {
   Json rows = Json::array();
   for (const auto& [fingerprint, told] : told_) {
     if (told.news <= since) continue;
@@ -246,7 +247,7 @@
   return rows;
 }
 
-void QuarantineKeeper::TakePlan(const Json& rows) {
+void QuarantineManager::TakePlan(const Json& rows) {
   if (!rows.is_array()) return;
   for (const Json& row : rows) {
     if (!row.is_array() || row.size() != 3 || !row[0].is_number_unsigned() ||
@@ -271,7 +272,7 @@
 
 // ---- The log ----
 
-void QuarantineKeeper::TakeControl() {
+void QuarantineManager::TakeControl() {
   const Quarantine& agreed = context_.control.quarantine();
   for (const auto& [fingerprint, until] : agreed.entries()) {
     if (until <= context_.now || from_log_.contains(fingerprint)) continue;
@@ -288,7 +289,7 @@
 
 // ---- The store's record ----
 
-void QuarantineKeeper::TakeRead(const QuarantineRead& event) {
+void QuarantineManager::TakeRead(const QuarantineRead& event) {
   if (!event.is_answered) return;
   has_read_ = true;
   for (const QuarantineRecord& record : event.records) {
@@ -300,14 +301,14 @@
   }
 }
 
-void QuarantineKeeper::TakeAppendEnd(const QuarantineAppendEnded& event) {
+void QuarantineManager::TakeAppendEnd(const QuarantineAppendEnded& event) {
   if (!event.is_appended) return;
   const uint64_t fingerprint = event.record.fingerprint;
   const bool is_release = event.record.until == TimePoint{};
   (is_release ? unreleased_ : unrecorded_).erase(fingerprint);
 }
 
-void QuarantineKeeper::EndDue(bool is_owner) {
+void QuarantineManager::EndDue(bool is_owner) {
   for (const uint64_t fingerprint : quarantine_.TakeEnded(context_.now)) {
     changed_.insert(fingerprint);
     unrecorded_.erase(fingerprint);
@@ -320,19 +321,19 @@
 // Guards against a host that does not know what the fleet does: while it hears
 // no owner, as at its start, and as the new owner, who must tell it to all. The
 // owner's plans carry it at all other times, at no call to the store.
-void QuarantineKeeper::ReadDue(bool is_owner, bool hears_owner) {
+void QuarantineManager::ReadDue(bool is_owner, bool is_owner_reachable) {
   if (is_owner && !is_owner_) {
     has_read_ = false;
     read_at_ = {};
   }
   is_owner_ = is_owner;
-  const bool is_unsure = is_owner ? !has_read_ : !hears_owner;
+  const bool is_unsure = is_owner ? !has_read_ : !is_owner_reachable;
   if (!is_unsure || context_.now - read_at_ < kReadInterval) return;
   read_at_ = context_.now;
   context_.Emit(ReadQuarantine{});
 }
 
-void QuarantineKeeper::AppendDue() {
+void QuarantineManager::AppendDue() {
   if (unrecorded_.empty() && unreleased_.empty()) return;
   if (context_.now - recorded_at_ < kAppendInterval) return;
   recorded_at_ = context_.now;
@@ -348,7 +349,7 @@
   }
 }
 
-void QuarantineKeeper::RunTick(bool is_owner, bool hears_owner) {
+void QuarantineManager::RunTick(bool is_owner, bool is_owner_reachable) {
   EndDue(is_owner);
   LogDropped(reports_.DropExpired(context_.now), "too old");
   std::erase_if(suspects_, [this](const auto& item) {
@@ -356,11 +357,11 @@
   });
   if (!is_owner) changed_.clear();
   if (!IsFleet()) return;
-  ReadDue(is_owner, hears_owner);
+  ReadDue(is_owner, is_owner_reachable);
   AppendDue();
 }
 
-Json QuarantineKeeper::ToJson() const {
+Json QuarantineManager::ToJson() const {
   Json json{{"held", Json::object()},
             {"suspects", ledger_.size()},
             {"told_suspects", suspects_.size()},
--- a/node/quarantine_keeper.h
+++ b/node/quarantine_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_QUARANTINE_KEEPER_H_
-#define APPLEHALL_NODE_QUARANTINE_KEEPER_H_
+#ifndef APPLEHALL_NODE_QUARANTINE_MANAGER_H_
+#define APPLEHALL_NODE_QUARANTINE_MANAGER_H_
 
 #include <deque>
 #include <map>
@@ -31,15 +31,16 @@
 //
 // Where hosts place by groups there is no one owner; there the ends are records
 // of the control stream, and all hosts find the same from them.
-class QuarantineKeeper {
+class QuarantineManager {
  public:
-  QuarantineKeeper(NodeContext& context, LogWriter& writer)
+  QuarantineManager(NodeContext& context, LogWriter& writer)
       : context_(context), writer_(writer), reports_(context.settings.self) {}
 
   // ---- What this host's requests say. Not thread-safe. ----
-  void NoteEnd(const std::string& server, const std::vector<CutRequest>& cuts);
+  void RecordEnd(const std::string& server,
+                 const std::vector<CutRequest>& cuts);
   // A server ran it to its end.
-  void NoteCompleted(uint64_t fingerprint);
+  void RecordCompleted(uint64_t fingerprint);
   // It must be sent to no server.
   bool Holds(uint64_t fingerprint) const {
     return quarantine_.Holds(fingerprint, context_.now);
@@ -54,7 +55,7 @@
   // A row of the next report is not sent yet.
   bool HasNewRows() const { return reports_.HasNew(); }
   // What the owner under `token` is owed now; null if nothing.
-  Json TakeReportRows(FencingToken token);
+  Json BuildReportRows(FencingToken token);
   void TakeReport(const std::string& host, const Json& report);
   // The acknowledgement that `host` is owed with its next plan; null if none.
   Json TakeAckFor(const std::string& host) { return inbox_.TakeAck(host); }
@@ -66,7 +67,7 @@
   // last number given is `last_news`.
   void NumberRows(uint64_t& last_news);
   // Numbers all that is known, for a new owner's first plans.
-  void RestartRows(uint64_t& last_news);
+  void RenumberRows(uint64_t& last_news);
   // The rows of a plan with the news after `since`.
   Json PlanRows(uint64_t since) const;
   void TakePlan(const Json& rows);
@@ -80,7 +81,7 @@
   void TakeAppendEnd(const QuarantineAppendEnded& event);
 
   // Reads, records and releases what is due. Not thread-safe.
-  void RunTick(bool is_owner, bool hears_owner);
+  void RunTick(bool is_owner, bool is_owner_reachable);
   Json ToJson() const;
 
  private:
@@ -103,7 +104,7 @@
   void Lift(uint64_t fingerprint);
   void Add(uint64_t fingerprint, TimePoint until, const std::string& source);
   void EndDue(bool is_owner);
-  void ReadDue(bool is_owner, bool hears_owner);
+  void ReadDue(bool is_owner, bool is_owner_reachable);
   void AppendDue();
 
   NodeContext& context_;
@@ -140,4 +141,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_QUARANTINE_KEEPER_H_
+#endif  // APPLEHALL_NODE_QUARANTINE_MANAGER_H_
--- a/node/quota_keeper.cc
+++ b/node/quota_manager.cc
@@ -1,4 +1,4 @@
-#include "node/quota_keeper.h"
+#include "node/quota_manager.h"
 
 #include <absl/strings/str_format.h>
 
@@ -76,19 +76,19 @@
 
 }  // namespace
 
-bool QuotaKeeper::HasQuotas() const {
+bool QuotaManager::HasQuotas() const {
   const auto& teams = context_.teams->teams();
   return std::any_of(teams.begin(), teams.end(), [](const auto& item) {
     return item.second.quota.is_limited();
   });
 }
 
-bool QuotaKeeper::IsThrottling() const {
+bool QuotaManager::IsThrottling() const {
   return std::any_of(shares_.begin(), shares_.end(),
                      [](const auto& item) { return item.second.share < 1; });
 }
 
-std::optional<Refusal> QuotaKeeper::Ask(const Team& team, double cost) {
+std::optional<Refusal> QuotaManager::Ask(const Team& team, double cost) {
   const QuotaDecision decision =
       gate_.Ask(team, cost, context_.random.Unit(), context_.now);
   if (decision.is_admitted) return std::nullopt;
@@ -99,12 +99,12 @@
       absl::StrFormat("the quota of team %s is used up (%s, share %.3f, told "
                       "%d ms ago, cost %.0f, version %d)",
                       team.name, QuotaModeName(decision.mode), decision.share,
-                      ToMillis(decision.told_ago), cost,
+                      ToMillis(decision.shares_age), cost,
                       context_.control.rules().version()),
       decision.retry_after};
 }
 
-void QuotaKeeper::StartPlanning() {
+void QuotaManager::StartPlanning() {
   ledger_ = std::make_unique<QuotaLedger>(
       QuotaLedger::Settings{.tolerance = context_.settings.quota_tolerance,
                             .expected_hosts = told_hosts_});
@@ -112,7 +112,7 @@
   centre_ledger_.reset();
 }
 
-Json QuotaKeeper::ReportRows() const {
+Json QuotaManager::ReportRows() const {
   if (!HasQuotas()) return {};
   Json teams = Json::object();
   for (const auto& [team, usage] : gate_.Usage(context_.now)) {
@@ -124,35 +124,36 @@
               {kTeams, std::move(teams)}};
 }
 
-void QuotaKeeper::TakeReport(const std::string& host,
-                             const std::string& data_centre, const Json& rows) {
+void QuotaManager::TakeReport(const std::string& host,
+                              const std::string& data_centre,
+                              const Json& rows) {
   if (!ledger_) return;
-  ledger_->TakeUsage(
+  ledger_->ApplyUsage(
       host, data_centre, FieldOr<uint64_t>(rows, kIncarnation, 0),
       UsageFrom(rows.value(kTeams, Json::object())), context_.now);
 }
 
-void QuotaKeeper::RunTick(const PeerAddress& reader) {
+void QuotaManager::RunTick(const PeerAddress& reader) {
   if (!HasQuotas()) return;
   if (ledger_) {
     RunOwner();
-  } else if (gate_.IsTold(context_.now)) {
+  } else if (gate_.HasFreshShares(context_.now)) {
     centre_ledger_.reset();
   } else {
     RunCentre(reader);
   }
 }
 
-QuotaShares QuotaKeeper::Decide(QuotaLedger& ledger,
-                                std::shared_ptr<const TeamRegistry> teams) {
+QuotaShares QuotaManager::Decide(QuotaLedger& ledger,
+                                 std::shared_ptr<const TeamRegistry> teams) {
   ledger.SetTeams(std::move(teams), context_.now);
-  ledger.TakeUsage(context_.settings.self.host, context_.settings.data_centre,
-                   context_.settings.self.number, gate_.Usage(context_.now),
-                   context_.now);
+  ledger.ApplyUsage(context_.settings.self.host, context_.settings.data_centre,
+                    context_.settings.self.number, gate_.Usage(context_.now),
+                    context_.now);
   return ledger.Shares(context_.now);
 }
 
-void QuotaKeeper::RunOwner() {
+void QuotaManager::RunOwner() {
   if (context_.now - decided_at_ < kDecisionInterval) return;
   decided_at_ = context_.now;
   QuotaShares shares = Decide(*ledger_, context_.teams);
@@ -160,13 +161,13 @@
   LogThrottled(shares);
   shares_ = std::move(shares);
   told_hosts_ = ledger_->KnownHosts(context_.now);
-  gate_.TakeShares(shares_, told_hosts_, context_.now);
+  gate_.ApplyShares(shares_, told_hosts_, context_.now);
   const auto parts = ledger_->parts().find(context_.settings.data_centre);
   if (parts != ledger_->parts().end()) centre_parts_ = parts->second;
 }
 
 // Who never heard an owner knows of no parts, and nobody stands in for it.
-void QuotaKeeper::RunCentre(const PeerAddress& reader) {
+void QuotaManager::RunCentre(const PeerAddress& reader) {
   if (reader.host.empty() || told_hosts_ == 0) return;
   if (reader.host == context_.settings.self.host) {
     StandIn();
@@ -181,7 +182,7 @@
                          {PeerMessageType::kQuotaUsage, std::move(body)}});
 }
 
-void QuotaKeeper::StandIn() {
+void QuotaManager::StandIn() {
   if (context_.now - decided_at_ < kDecisionInterval) return;
   decided_at_ = context_.now;
   if (!centre_ledger_) {
@@ -195,11 +196,11 @@
   QuotaShares shares = Decide(*centre_ledger_, CentreTeams());
   if (!centre_ledger_->IsReady(context_.now)) return;
   centre_shares_ = std::move(shares);
-  gate_.TakeCentreShares(centre_shares_, context_.now);
+  gate_.ApplyCentreShares(centre_shares_, context_.now);
 }
 
 // The teams with their quotas cut down to this data centre's part.
-std::shared_ptr<const TeamRegistry> QuotaKeeper::CentreTeams() const {
+std::shared_ptr<const TeamRegistry> QuotaManager::CentreTeams() const {
   auto teams = std::make_shared<TeamRegistry>();
   for (const auto& [name, whole] : context_.teams->teams()) {
     Team team = whole;
@@ -213,16 +214,17 @@
   return teams;
 }
 
-void QuotaKeeper::TakeCentreUsage(const std::string& host, const Json& body) {
+void QuotaManager::HandleCentreUsage(const std::string& host,
+                                     const Json& body) {
   if (!HasQuotas()) return;
   if (centre_ledger_) {
-    centre_ledger_->TakeUsage(host, context_.settings.data_centre,
-                              FieldOr<uint64_t>(body, kIncarnation, 0),
-                              UsageFrom(body.value(kTeams, Json::object())),
-                              context_.now);
+    centre_ledger_->ApplyUsage(host, context_.settings.data_centre,
+                               FieldOr<uint64_t>(body, kIncarnation, 0),
+                               UsageFrom(body.value(kTeams, Json::object())),
+                               context_.now);
   }
   // Here the owner may still be heard: its share is right for the host as well.
-  const bool is_told = gate_.IsTold(context_.now);
+  const bool is_told = gate_.HasFreshShares(context_.now);
   const bool is_standing_in =
       centre_ledger_ && centre_ledger_->IsReady(context_.now);
   if (!is_told && !is_standing_in) return;
@@ -233,12 +235,12 @@
        Json{{kTeams, ShareRows(is_told ? shares_ : centre_shares_)}}}});
 }
 
-void QuotaKeeper::TakeCentreWord(const Json& body) {
-  gate_.TakeCentreShares(SharesFrom(body.value(kTeams, Json::object())),
-                         context_.now);
+void QuotaManager::HandleCentreShares(const Json& body) {
+  gate_.ApplyCentreShares(SharesFrom(body.value(kTeams, Json::object())),
+                          context_.now);
 }
 
-Json QuotaKeeper::PlanRows(const std::string& data_centre) const {
+Json QuotaManager::PlanRows(const std::string& data_centre) const {
   if (!ledger_ || !ledger_->IsReady(context_.now) || !HasQuotas()) return {};
   Json body{{kTeams, ShareRows(shares_)}, {kHosts, told_hosts_}};
   const auto parts = ledger_->parts().find(data_centre);
@@ -247,7 +249,7 @@
 }
 
 // One line when a team begins to be held back and one when it no longer is.
-void QuotaKeeper::LogThrottled(const QuotaShares& shares) const {
+void QuotaManager::LogThrottled(const QuotaShares& shares) const {
   for (const auto& [team, share] : shares) {
     const auto before = shares_.find(team);
     const bool was_held = before != shares_.end() && before->second.share < 1;
@@ -262,14 +264,14 @@
   }
 }
 
-void QuotaKeeper::TakePlan(const Json& rows) {
+void QuotaManager::TakePlan(const Json& rows) {
   shares_ = SharesFrom(rows.value(kTeams, Json::object()));
   told_hosts_ = std::max(1, FieldOr<int>(rows, kHosts, 1));
-  gate_.TakeShares(shares_, told_hosts_, context_.now);
+  gate_.ApplyShares(shares_, told_hosts_, context_.now);
   centre_parts_ = PartsFrom(rows.value(kParts, Json::object()));
 }
 
-Json QuotaKeeper::ToJson() const {
+Json QuotaManager::ToJson() const {
   Json json{{"is_ledger_here", ledger_ != nullptr}, {"teams", Json::object()}};
   for (const auto& [team, usage] : gate_.Usage(context_.now)) {
     const auto told = shares_.find(team);
--- a/node/quota_keeper.h
+++ b/node/quota_manager.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_QUOTA_KEEPER_H_
-#define APPLEHALL_NODE_QUOTA_KEEPER_H_
+#ifndef APPLEHALL_NODE_QUOTA_MANAGER_H_
+#define APPLEHALL_NODE_QUOTA_MANAGER_H_
 
 #include <map>
 #include <memory>
@@ -20,15 +20,15 @@
 // reader of the store: it keeps a ledger of their part of each quota. Otherwise
 // each host would have its own small part only, which refuses whoever has more
 // requests at one host than usual, although the team is within its quota.
-class QuotaKeeper {
+class QuotaManager {
  public:
-  explicit QuotaKeeper(NodeContext& context)
+  explicit QuotaManager(NodeContext& context)
       : context_(context),
         gate_(context.settings.quota_tolerance,
               SplitOf(context.settings.policies)) {}
 
   // A refusal if `team` has used its quota up. Not thread-safe.
-  std::optional<Refusal> Ask(const Team& team, double cost);
+  std::optional<Refusal> Charge(const Team& team, double cost);
   // An admitted request has not run and never will. Not thread-safe.
   void GiveBack(const std::string& team, double cost) {
     gate_.GiveBack(team, cost);
@@ -51,8 +51,8 @@
   Json PlanRows(const std::string& data_centre) const;
   void TakePlan(const Json& rows);
   // A host of this data centre hears no owner. Not thread-safe.
-  void TakeCentreUsage(const std::string& host, const Json& body);
-  void TakeCentreWord(const Json& body);
+  void HandleCentreUsage(const std::string& host, const Json& body);
+  void HandleCentreShares(const Json& body);
   // A team is held back, so its share has to follow what it asks for. Not
   // thread-safe.
   bool IsThrottling() const;
@@ -91,4 +91,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_QUOTA_KEEPER_H_
+#endif  // APPLEHALL_NODE_QUOTA_MANAGER_H_
--- a/node/reader_choice.cc
+++ b/node/reader_selector.cc
@@ -1,33 +1,35 @@
-#include "node/reader_choice.h"
-
 #include <algorithm>
 #include <utility>
 
+#include "node/reader_selector.h"
+
 namespace applehall {
 namespace {
 
-double UsableLink(double mbps) { return IsWideLink(mbps) ? kReaderLink : mbps; }
+double UsableLink(double mbps) {
+  return IsWideLink(mbps) ? kWideLinkMbps : mbps;
+}
 
 }  // namespace
 
-bool ReaderChoice::IsFit(const FleetPeer& peer, const std::string& data_centre,
-                         TimePoint now) {
+bool ReaderSelector::IsFit(const FleetPeer& peer,
+                           const std::string& data_centre, TimePoint now) {
   return peer.data_centre == data_centre && peer.can_read_store &&
-         now - peer.heard_at <= kReaderSilence;
+         now - peer.last_report_at <= kMaxReaderSilence;
 }
 
-void ReaderChoice::Restart(TimePoint now) {
+void ReaderSelector::Restart(TimePoint now) {
   chosen_.clear();
   started_at_ = now;
 }
 
-bool ReaderChoice::HasWideLink(const std::string& host) const {
+bool ReaderSelector::HasWideLink(const std::string& host) const {
   const auto peer = peers_.find(host);
   return peer != peers_.end() && IsWideLink(peer->second.link_mbps);
 }
 
-PeerAddress ReaderChoice::Reader(const std::string& data_centre,
-                                 TimePoint now) {
+PeerAddress ReaderSelector::SelectReader(const std::string& data_centre,
+                                         TimePoint now) {
   std::string& chosen = chosen_[data_centre];
   const auto current = peers_.find(chosen);
   const bool is_fit =
@@ -36,7 +38,7 @@
   if (is_fit && IsWideLink(current->second.link_mbps)) {
     return {chosen, current->second.address};
   }
-  const PeerAddress best = Backup(data_centre, /*reader=*/"", now);
+  const PeerAddress best = SelectBackup(data_centre, /*reader=*/"", now);
   if (is_fit && UsableLink(current->second.link_mbps) >=
                     UsableLink(peers_.at(best.host).link_mbps)) {
     return {chosen, current->second.address};
@@ -45,9 +47,9 @@
   return best;
 }
 
-PeerAddress ReaderChoice::Backup(const std::string& data_centre,
-                                 const std::string& reader,
-                                 TimePoint now) const {
+PeerAddress ReaderSelector::SelectBackup(const std::string& data_centre,
+                                         const std::string& reader,
+                                         TimePoint now) const {
   PeerAddress best;
   std::pair<double, double> most{-1, -1};
   for (const auto& [host, peer] : peers_) {
--- a/node/request_decider.cc
+++ b/node/request_decider.cc
@@ -21,9 +21,9 @@
                            refusal.reason == RefusalReason::kUnauthorized ||
                            refusal.reason == RefusalReason::kBadRequest;
   if (!is_for_good || context_.news.known().empty()) return refusal;
-  const Duration age = context_.now - context_.news.AsOf();
-  const NewsBudget& budget = context_.settings.news;
-  if (age <= budget.most_age()) return refusal;
+  const Duration age = context_.now - context_.news.OldestFreshness();
+  const FreshnessBudget& budget = context_.settings.news;
+  if (age <= budget.max_age()) return refusal;
   context_.metrics.Count("refused_by_old_rules_total");
   return NotRun(RefusalReason::kRulesMayBeOld,
                 absl::StrCat(refusal.detail, ", by rules last confirmed ",
@@ -93,7 +93,7 @@
       request.team ? context_.teams->Find(*request.team) : nullptr;
   if (team == nullptr || !team->quota.is_limited()) return std::nullopt;
   const double cost = team->QuotaCost(request.arrival.declared_tokens);
-  if (auto refusal = quotas_.Ask(*team, cost)) return refusal;
+  if (auto refusal = quotas_.Charge(*team, cost)) return refusal;
   request.quota_cost = cost;
   return std::nullopt;
 }
--- a/node/request_decider.h
+++ b/node/request_decider.h
@@ -4,10 +4,10 @@
 #include <optional>
 #include <string>
 
-#include "node/fleet_keeper.h"
+#include "node/fleet_manager.h"
 #include "node/node_context.h"
 #include "node/open_request.h"
-#include "node/quota_keeper.h"
+#include "node/quota_manager.h"
 
 namespace applehall {
 
@@ -15,7 +15,8 @@
 // the service or model it needs, and whether the team's quota bears it.
 class RequestDecider {
  public:
-  RequestDecider(NodeContext& context, FleetKeeper& fleet, QuotaKeeper& quotas)
+  RequestDecider(NodeContext& context, FleetManager& fleet,
+                 QuotaManager& quotas)
       : context_(context), fleet_(fleet), quotas_(quotas) {}
 
   // Fills in rule, team, deadline and target; a refusal if any of them says so.
@@ -39,8 +40,8 @@
   }
 
   NodeContext& context_;
-  FleetKeeper& fleet_;
-  QuotaKeeper& quotas_;
+  FleetManager& fleet_;
+  QuotaManager& quotas_;
 };
 
 }  // namespace applehall
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -59,10 +59,10 @@
 
 }  // namespace
 
-RequestFlow::RequestFlow(NodeContext& context, GroupKeeper& groups,
-                         Gossip& gossip, FleetKeeper& fleet,
-                         QuarantineKeeper& quarantine, QuotaKeeper& quotas,
-                         LimitKeeper& limits)
+RequestFlow::RequestFlow(NodeContext& context, GroupManager& groups,
+                         Gossip& gossip, FleetManager& fleet,
+                         QuarantineManager& quarantine, QuotaManager& quotas,
+                         LimitManager& limits)
     : context_(context),
       groups_(groups),
       gossip_(gossip),
@@ -96,7 +96,7 @@
 std::optional<Refusal> RequestFlow::CheckLimits(const RequestArrived& event) {
   const bool still_serves =
       context_.settings.serves_while_draining &&
-      context_.now - context_.drain_began < context_.settings.drain_least;
+      context_.now - context_.drain_began < context_.settings.min_drain;
   if (context_.is_draining && !still_serves) {
     return NotRun(RefusalReason::kDraining, "this host is being replaced",
                   kRetrySoon);
@@ -105,7 +105,7 @@
     return NotRun(RefusalReason::kNoRuleSet, "no rule set is in force yet",
                   kRetrySoon);
   }
-  if (requests_.size() >= context_.settings.most_requests ||
+  if (requests_.size() >= context_.settings.max_open_requests ||
       targets_.size() >= kMostTargets) {
     return NotRun(RefusalReason::kQueueFull, "this host holds all it can",
                   kRetrySoon);
@@ -117,7 +117,7 @@
     const std::string& caller) const {
   const auto known = callers_.find(caller);
   if (known == callers_.end() ||
-      known->second.open < context_.settings.most_in_flight_per_caller) {
+      known->second.open < context_.settings.max_in_flight_per_caller) {
     return std::nullopt;
   }
   return NotRun(RefusalReason::kTooManyInFlight,
@@ -130,7 +130,7 @@
          (!context_.control.rules().current() || !fleet_.is_known());
 }
 
-void RequestFlow::Arrive(const RequestArrived& event) {
+void RequestFlow::HandleArrival(const RequestArrived& event) {
   if (IsLearning() && early_.TryHold(event)) return;
   Admit(event, context_.now);
 }
@@ -191,22 +191,22 @@
   }
   request.phase = Phase::kClaiming;
   switch (claims_.Begin(request.arrival.handle, key, context_.now)) {
-    case ClaimGuard::Standing::kPending:
+    case ClaimGuard::BeginResult::kPending:
       return std::nullopt;
-    case ClaimGuard::Standing::kDuplicate:
+    case ClaimGuard::BeginResult::kDuplicate:
       return Refusal{Verdict::kMayHaveRun, RefusalReason::kDuplicateRequest,
                      "a request with this Idempotency-Key was accepted before",
                      Duration{0}};
-    case ClaimGuard::Standing::kKeyMalformed:
+    case ClaimGuard::BeginResult::kKeyMalformed:
       return NotRun(RefusalReason::kIdempotencyKeyMissing,
                     "the Idempotency-Key is not a UUID of version 7");
-    case ClaimGuard::Standing::kKeyTooOld:
+    case ClaimGuard::BeginResult::kKeyTooOld:
       return NotRun(RefusalReason::kIdempotencyKeyExpired,
                     "the Idempotency-Key is older than keys are remembered");
-    case ClaimGuard::Standing::kKeyAhead:
+    case ClaimGuard::BeginResult::kKeyInFuture:
       return NotRun(RefusalReason::kIdempotencyKeyExpired,
                     "the Idempotency-Key was issued in the future");
-    case ClaimGuard::Standing::kNotReady:
+    case ClaimGuard::BeginResult::kNotReady:
       return NotRun(RefusalReason::kLogUnavailable,
                     "this host has not read the log yet", kRetrySoon);
   }
@@ -356,20 +356,20 @@
 bool RequestFlow::MayDispatch(Request& request, const EngineDigest& engine) {
   if (!limits_.IsLimited(engine.engine)) return true;
   const RuleOutcome& then = request.rule().then;
-  LimitKeeper::PermitRequest wanted;
+  LimitManager::PermitRequest wanted;
   wanted.handle = request.arrival.handle;
   wanted.caller = request.team.value_or(request.arrival.facts.caller);
   wanted.worth = then.worth;
   wanted.is_background = then.is_background();
-  wanted.patience = PermitPatience(request, engine);
+  wanted.max_wait = PermitPatience(request, engine);
   request.permit_server = engine.engine;
   switch (limits_.Acquire(request.permit_server, wanted)) {
-    case LimitKeeper::Permit::kGranted:
+    case LimitManager::Permit::kGranted:
       return true;
-    case LimitKeeper::Permit::kPending:
+    case LimitManager::Permit::kPending:
       request.phase = Phase::kPermit;
       return false;
-    case LimitKeeper::Permit::kDenied:
+    case LimitManager::Permit::kDenied:
       TakeDenial(request, kAloneRetry);
       return false;
   }
@@ -393,11 +393,11 @@
   // One that finds another way may ask for a permit there and have it at once.
   for (auto outcomes = limits_.TakeOutcomes(); !outcomes.empty();
        outcomes = limits_.TakeOutcomes()) {
-    for (const LimitKeeper::Outcome& outcome : outcomes) TakePermit(outcome);
+    for (const LimitManager::Outcome& outcome : outcomes) TakePermit(outcome);
   }
 }
 
-void RequestFlow::TakePermit(const LimitKeeper::Outcome& outcome) {
+void RequestFlow::TakePermit(const LimitManager::Outcome& outcome) {
   Request* request = Find(outcome.handle);
   const bool is_open = request != nullptr && request->phase == Phase::kPermit &&
                        request->permit_server == outcome.server;
@@ -466,7 +466,7 @@
   if (request.arrival.is_forwarded || request.was_forwarded) return false;
   if (IsService(request)) return false;
   const std::vector<std::string>& allowed = request.rule().then.data_centres;
-  std::string centre = gossip_.DataCentreWith(request.target, allowed);
+  std::string centre = gossip_.FindReadyDataCentre(request.target, allowed);
   if (centre.empty() &&
       !request.rule().then.AllowsDataCentre(context_.settings.data_centre)) {
     centre = allowed[context_.random.Below(allowed.size())];
@@ -488,17 +488,17 @@
 
 // ---- Ends ----
 
-void RequestFlow::Started(const AttemptStarted& event) {
+void RequestFlow::HandleAttemptStarted(const AttemptStarted& event) {
   Request* request = Find(event.handle);
   if (request == nullptr) return;
   if (!request->has_started) request->started_at = context_.now;
   if (request->phase == Phase::kSent) {
-    limits_.TakeReported(request->backend, event.limit, request->sent_at);
+    limits_.ApplyReported(request->backend, event.limit, request->sent_at);
   }
   request->has_started = true;
 }
 
-void RequestFlow::Ended(const AttemptEnded& event) {
+void RequestFlow::HandleAttemptEnded(const AttemptEnded& event) {
   Request* request = Find(event.handle);
   // An answer to an attempt that was given up belongs to nobody any more.
   if (request == nullptr || request->phase != Phase::kSent ||
@@ -508,7 +508,7 @@
   const std::string backend = request->backend;
   const bool was_local = request->backend_kind != BackendKind::kEntryHost;
   if (was_local) {
-    limits_.TakeReported(backend, event.limit, request->sent_at);
+    limits_.ApplyReported(backend, event.limit, request->sent_at);
     context_.view.EndRequest(backend, request->target, ViewEnd(event.result),
                              context_.now);
   }
@@ -519,7 +519,7 @@
   if (event.result == AttemptResult::kCompleted) {
     TargetState& state = targets_[request->target];
     LearnServiceTime(context_.now - request->sent_at, state);
-    quarantine_.NoteCompleted(request->arrival.fingerprint);
+    quarantine_.RecordCompleted(request->arrival.fingerprint);
     if (!IsFleet()) backend_retries_[backend].RecordFirstAttempt();
     Settle(event.handle, "answered", Verdict::kRan, "");
   } else {
@@ -552,7 +552,7 @@
 void RequestFlow::TakeProbe(const ServerProbed& probed) {
   const std::vector<CutRequest> cuts = ends_.TakeProbe(probed);
   if (cuts.empty()) return;
-  quarantine_.NoteEnd(probed.server, cuts);
+  quarantine_.RecordEnd(probed.server, cuts);
   RefuseQuarantined();
 }
 
@@ -676,7 +676,7 @@
   if (IsFleet()) {
     RetryBudget& of_service = backend_retries_[request.service];
     of_service.SetMostSaved(context_.settings.retry_slack /
-                            context_.fleet_hosts);
+                            context_.entry_host_count);
     return of_service.TrySpend();
   }
   RetryBudget& of_caller = callers_[request.arrival.facts.caller].retries;
@@ -739,7 +739,7 @@
   log_.RefusedOnArrival(event, rule, refusal);
 }
 
-void RequestFlow::CallerLeft(const CallerGone& event) {
+void RequestFlow::HandleCallerDisconnected(const CallerDisconnected& event) {
   if (early_.Drop(event.handle)) return;
   Request* request = Find(event.handle);
   if (request == nullptr) return;
@@ -801,13 +801,13 @@
 
 // ---- Claims ----
 
-void RequestFlow::TakeClaims(const LogBatch& batch) {
+void RequestFlow::HandleClaims(const LogBatch& batch) {
   claims_.Apply(batch, context_.now);
   RunClaims();
 }
 
-void RequestFlow::ClaimAppendFailed(const std::string& record_id) {
-  claims_.AppendFailed(record_id, context_.now);
+void RequestFlow::HandleClaimAppendFailed(const std::string& record_id) {
+  claims_.HandleAppendFailure(record_id, context_.now);
 }
 
 void RequestFlow::RunClaims() {
@@ -891,14 +891,14 @@
 }
 
 void RequestFlow::SendDemand(const std::string& target, TargetState& state) {
-  const std::vector<std::string> groups = groups_.GroupsFor(target);
+  const std::vector<std::string> groups = groups_.RankGroups(target);
   if (groups.empty()) return;
   const std::string& group = groups[state.group_rank % groups.size()];
   const Demand demand = DemandOf(target, state);
   state.demanded_at = context_.now;
   const std::optional<DemandAnswer> answer = groups_.TakeDemand(group, demand);
   if (answer) {
-    TakeDemandAnswer(*answer);
+    HandleDemandAnswer(*answer);
     return;
   }
   const std::string owner = groups_.OwnerOf(group);
@@ -912,7 +912,7 @@
                      {"background", demand.is_background}});
 }
 
-void RequestFlow::TakeDemandAnswer(const DemandAnswer& answer) {
+void RequestFlow::HandleDemandAnswer(const DemandAnswer& answer) {
   const auto it = targets_.find(answer.target);
   if (it == targets_.end()) return;
   TargetState& state = it->second;
@@ -922,7 +922,7 @@
     state.answered_at = context_.now;
     return;
   }
-  const std::vector<std::string> groups = groups_.GroupsFor(answer.target);
+  const std::vector<std::string> groups = groups_.RankGroups(answer.target);
   if (answer.status == DemandStatus::kNoPlace &&
       state.group_rank + 1 < groups.size()) {
     ++state.group_rank;
@@ -999,7 +999,7 @@
   for (const std::string& target : wanting) {
     TargetState& state = targets_[target];
     if (IsFleet()) {
-      fleet_.SetWaiting(DemandOf(target, state));
+      fleet_.SetDemand(DemandOf(target, state));
       RefuseAll(waits_.Hopeless(target, state));
       RefuseAll(waits_.Overflow(target, state));
       continue;
--- a/node/request_flow.h
+++ b/node/request_flow.h
@@ -10,13 +10,13 @@
 
 #include "claims/claim_guard.h"
 #include "node/early_requests.h"
-#include "node/fleet_keeper.h"
+#include "node/fleet_manager.h"
 #include "node/gossip.h"
-#include "node/group_keeper.h"
-#include "node/limit_keeper.h"
+#include "node/group_manager.h"
+#include "node/limit_manager.h"
 #include "node/node_context.h"
 #include "node/open_request.h"
-#include "node/quota_keeper.h"
+#include "node/quota_manager.h"
 #include "node/request_decider.h"
 #include "node/request_log.h"
 #include "node/server_ends.h"
@@ -30,24 +30,24 @@
 // key, its wait, its attempts and its end.
 class RequestFlow {
  public:
-  RequestFlow(NodeContext& context, GroupKeeper& groups, Gossip& gossip,
-              FleetKeeper& fleet, QuarantineKeeper& quarantine,
-              QuotaKeeper& quotas, LimitKeeper& limits);
+  RequestFlow(NodeContext& context, GroupManager& groups, Gossip& gossip,
+              FleetManager& fleet, QuarantineManager& quarantine,
+              QuotaManager& quotas, LimitManager& limits);
 
   // Events of one request; all may come late, doubled or after its end. Not
   // thread-safe.
-  void Arrive(const RequestArrived& event);
-  void CallerLeft(const CallerGone& event);
-  void Started(const AttemptStarted& event);
-  void Ended(const AttemptEnded& event);
+  void HandleArrival(const RequestArrived& event);
+  void HandleCallerDisconnected(const CallerDisconnected& event);
+  void HandleAttemptStarted(const AttemptStarted& event);
+  void HandleAttemptEnded(const AttemptEnded& event);
   // Whether a server that broke answers off is still there. Not thread-safe.
   void TakeProbe(const ServerProbed& probed);
 
   // The claims stream or an append of it moved. Not thread-safe.
-  void TakeClaims(const LogBatch& batch);
-  void ClaimAppendFailed(const std::string& record_id);
+  void HandleClaims(const LogBatch& batch);
+  void HandleClaimAppendFailed(const std::string& record_id);
   // How a demand stands with an owner. Not thread-safe.
-  void TakeDemandAnswer(const DemandAnswer& answer);
+  void HandleDemandAnswer(const DemandAnswer& answer);
   // Deadlines, backoffs, demands, claims and whatever capacity there is. Not
   // thread-safe.
   void RunTick();
@@ -97,7 +97,7 @@
   void Send(Request& request, const EngineDigest& engine);
   bool MayDispatch(Request& request, const EngineDigest& engine);
   Duration PermitPatience(const Request& request, const EngineDigest& engine);
-  void TakePermit(const LimitKeeper::Outcome& outcome);
+  void TakePermit(const LimitManager::Outcome& outcome);
   void TakeDenial(Request& request, Duration retry_after);
   bool TryForward(Request& request);
   void SendAttempt(Request& request, BackendKind kind,
@@ -141,12 +141,12 @@
   Request* Find(RequestHandle handle);
 
   NodeContext& context_;
-  GroupKeeper& groups_;
+  GroupManager& groups_;
   Gossip& gossip_;
-  FleetKeeper& fleet_;
-  QuarantineKeeper& quarantine_;
-  QuotaKeeper& quotas_;
-  LimitKeeper& limits_;
+  FleetManager& fleet_;
+  QuarantineManager& quarantine_;
+  QuotaManager& quotas_;
+  LimitManager& limits_;
   EarlyRequests early_;
   RequestDecider decider_;
   RequestLog log_;
--- a/node/request_log.cc
+++ b/node/request_log.cc
@@ -93,7 +93,8 @@
       .With("action", "refused")
       .With("verdict", VerdictName(refusal.verdict))
       .With("reason", decision.reason)
-      .With("news_age_ms", ToMillis(context_.now - context_.news.AsOf()));
+      .With("news_age_ms",
+            ToMillis(context_.now - context_.news.OldestFreshness()));
   context_.decisions.Add(std::move(decision));
 }
 
--- a/node/server_end_inbox.cc
+++ b/node/server_end_inbox.cc
@@ -25,7 +25,7 @@
     taken.push_back(*std::move(row));
   }
   std::erase_if(heard_, [now](const auto& item) {
-    return now - item.second.at > kQuarantineLife;
+    return now - item.second.at > kQuarantineTtl;
   });
   Heard& heard = heard_[host];
   // A report of an earlier life that came late.
--- a/node/server_end_reports.cc
+++ b/node/server_end_reports.cc
@@ -17,9 +17,9 @@
   switch (row.kind) {
     case ServerEndRow::Kind::kEnd:
     case ServerEndRow::Kind::kLateEnd:
-      return now - row.at > kSuspicionLife;
+      return now - row.at > kSuspicionTtl;
     case ServerEndRow::Kind::kCleared:
-      return now - row.at > kQuarantineLife;
+      return now - row.at > kQuarantineTtl;
     case ServerEndRow::Kind::kProven:
       return row.at <= now;
   }
--- a/node/store_relay.cc
+++ b/node/store_relay.cc
@@ -5,7 +5,7 @@
 #include "core/byte_patch.h"
 #include "core/event_log.h"
 #include "core/hash.h"
-#include "node/reader_choice.h"
+#include "node/reader_selector.h"
 
 namespace applehall {
 namespace {
@@ -67,9 +67,11 @@
 }
 
 // Half of the trust is left then for the backup's answer.
-bool StoreRelay::IsInDoubt() const { return ProofAge() > budget().trust / 2; }
+bool StoreRelay::IsInDoubt() const {
+  return ProofAge() > budget().max_staleness / 2;
+}
 
-void StoreRelay::TakeNews(const StoreNewsRead& news) {
+void StoreRelay::TakeNews(const StoreUpdatesRead& news) {
   context_.news.Know(news.topic, news.next);
   if (news.as_of != TimePoint{}) {
     context_.news.Prove(news.topic, news.next, news.as_of, kStoreSource);
@@ -97,7 +99,8 @@
   }
 }
 
-StoreRelay::Remembered StoreRelay::WithPatch(const StoreNewsRead& news) const {
+StoreRelay::Remembered StoreRelay::WithPatch(
+    const StoreUpdatesRead& news) const {
   Remembered remembered{news, context_.now, "", 0};
   const auto base = bases_.find(news.topic);
   if (base == bases_.end()) return remembered;
@@ -189,7 +192,7 @@
 
 void StoreRelay::AddRecords(const Remembered& news, Follower& follower,
                             Json& body) {
-  const StoreNewsRead& read = news.news;
+  const StoreUpdatesRead& read = news.news;
   Told& told = follower.told[read.topic];
   const bool has_base =
       told.next == read.from && !news.patch.empty() && !follower.needs_whole;
@@ -210,8 +213,10 @@
 // changes to many followers: its own reads and its callers wait behind them.
 bool StoreRelay::TakeRoom(size_t bytes) {
   const double told = context_.settings.link_mbps;
-  const double per_second = (told > 0 ? told : kReaderLink) * kBytesPerMegabit;
-  const double most = per_second * ToSeconds(budget().beat + budget().transit);
+  const double per_second =
+      (told > 0 ? told : kWideLinkMbps) * kBytesPerMegabit;
+  const double most = per_second * ToSeconds(budget().heartbeat_interval +
+                                             budget().max_transit);
   const double since = ToSeconds(context_.now - room_at_);
   room_ = std::min(most, room_ + kShareOfLink * per_second * since);
   room_at_ = context_.now;
@@ -309,9 +314,9 @@
       .With("reason", std::string(records.status().message()));
   if (!records.ok()) return;
   needs_whole_ = false;
-  context_.Emit(TakeStoreNews{topic, from, to, *records});
+  context_.Emit(ApplyStoreUpdates{topic, from, to, *records});
   context_.news.Know(topic, to);
-  StoreNewsRead news{.topic = topic, .from = from, .next = to};
+  StoreUpdatesRead news{.topic = topic, .from = from, .next = to};
   news.records = *std::move(records);
   Keep({std::move(news), context_.now, patch.value_or(""),
         FieldOr<uint64_t>(body, "base", 0)});
@@ -347,15 +352,16 @@
       .With("reader", reader_.host)
       .With("proof_age_ms", ToMillis(ProofAge()))
       .With("caught_up", context_.news.HasCaughtUp() ? "yes" : "no");
-  context_.Emit(FollowStore{is_reading, context_.news.AsOf()});
+  context_.Emit(SetStorePolling{is_reading, context_.news.OldestFreshness()});
 }
 
 void StoreRelay::RunTick() {
   std::erase_if(followers_, [this](const auto& item) {
-    return context_.now - item.second.heard_at > kFollowerLife * budget().beat;
+    return context_.now - item.second.heard_at >
+           kFollowerLife * budget().heartbeat_interval;
   });
   for (auto& [host, follower] : followers_) {
-    if (context_.now - follower.sent_at >= budget().beat) {
+    if (context_.now - follower.sent_at >= budget().heartbeat_interval) {
       SendNews(host, follower, nullptr);
     }
   }
@@ -363,7 +369,7 @@
     SetReading(true);
     return;
   }
-  if (context_.now - followed_at_ >= budget().beat) {
+  if (context_.now - followed_at_ >= budget().heartbeat_interval) {
     followed_at_ = context_.now;
     SendFollow(reader_);
     const bool has_backup =
@@ -372,13 +378,13 @@
   }
   // A follower that lacks what its reader has is told again; until its own
   // proof is too old that spares the store a read by each of many.
-  const Duration age = context_.now - context_.news.AsOf();
-  SetReading(std::max(age, ProofAge()) > budget().trust);
+  const Duration age = context_.now - context_.news.OldestFreshness();
+  SetReading(std::max(age, ProofAge()) > budget().max_staleness);
   if (is_reading_) return;
   // What the reader vouches for, this host knows as well.
-  const TimePoint as_of = context_.news.AsOf();
+  const TimePoint as_of = context_.news.OldestFreshness();
   if (as_of > std::max(context_.log_answered_at, context_.log_failed_at)) {
-    context_.NoteLogAnswer(as_of);
+    context_.RecordLogResponse(as_of);
   }
 }
 
--- a/node/store_relay.h
+++ b/node/store_relay.h
@@ -17,7 +17,7 @@
 // Calls to the store grow with the number of hosts. A host that is told a
 // reader follows it: it takes the news the reader passes on and stops its own
 // reads as long as it can prove, for each topic, that these are recent
-// (TopicProofs). No proof of what it knows within the budget's trust, and it
+// (TopicFreshness). No proof of what it knows within the budget's trust, and it
 // reads for itself again, so a reader that dies, stands still, is cut off,
 // has lost the store or waits for an answer about one topic delays a change by
 // that time at most.
@@ -42,7 +42,7 @@
   static KnownOwner OwnerIn(const Json& body);
   // News of the store were read here, or taken over from the reader. Not
   // thread-safe.
-  void TakeNews(const StoreNewsRead& news);
+  void TakeNews(const StoreUpdatesRead& news);
   // Another host follows this one. Not thread-safe.
   void TakeFollow(const std::string& host, const Json& body);
   // What the reader passes on. Not thread-safe.
@@ -50,7 +50,7 @@
   // Not thread-safe.
   void RunTick();
 
-  bool reads_itself() const { return is_reading_; }
+  bool is_reading_store() const { return is_reading_; }
   Json ToJson() const;
 
  private:
@@ -69,7 +69,7 @@
   };
   // News that followers may still lack.
   struct Remembered {
-    StoreNewsRead news;
+    StoreUpdatesRead news;
     TimePoint at;
     // What makes the records out of the record before them; empty: no such
     // record is known, or the records are hardly longer.
@@ -77,7 +77,7 @@
     uint64_t base_hash = 0;  // Of the record before them.
   };
 
-  const NewsBudget& budget() const { return context_.settings.news; }
+  const FreshnessBudget& budget() const { return context_.settings.news; }
   Duration ProofAge() const { return context_.now - RelayedAsOf(); }
   bool IsFollowing() const;
   bool IsSource(const std::string& host) const;
@@ -86,7 +86,7 @@
   TimePoint RelayedAsOf() const;
   // Proof is due from the backup as well.
   bool IsInDoubt() const;
-  Remembered WithPatch(const StoreNewsRead& news) const;
+  Remembered WithPatch(const StoreUpdatesRead& news) const;
   // The result is valid until the next call.
   const Remembered& Keep(Remembered remembered);
   void SendMissed(const std::string& host, Follower& follower);
--- a/node/topic_proofs.cc
+++ b/node/topic_freshness.cc
@@ -1,17 +1,17 @@
-#include "node/topic_proofs.h"
-
 #include <algorithm>
 
+#include "node/topic_freshness.h"
+
 namespace applehall {
 
-void TopicProofs::Merge(const TopicProof& claim, TopicProof& known) {
+void TopicFreshness::Merge(const TopicState& claim, TopicState& known) {
   if (claim.as_of <= known.as_of) return;
   known.as_of = claim.as_of;
   known.source = claim.source;
 }
 
-void TopicProofs::Know(const std::string& topic, LogOffset next) {
-  TopicProof& known = known_[topic];
+void TopicFreshness::Know(const std::string& topic, LogOffset next) {
+  TopicState& known = known_[topic];
   known.next = std::max(known.next, next);
   const auto claim = claims_.find(topic);
   if (claim == claims_.end() || claim->second.next > known.next) return;
@@ -19,24 +19,24 @@
   claims_.erase(claim);
 }
 
-void TopicProofs::Prove(const std::string& topic, LogOffset next,
-                        TimePoint as_of, const std::string& source) {
+void TopicFreshness::Prove(const std::string& topic, LogOffset next,
+                           TimePoint as_of, const std::string& source) {
   const auto known = known_.find(topic);
   if (known != known_.end() && known->second.next >= next) {
     Merge({next, as_of, source}, known->second);
     return;
   }
-  TopicProof& claim = claims_[topic];
+  TopicState& claim = claims_[topic];
   if (next < claim.next) return;
   claim = {next, as_of, source};
 }
 
-LogOffset TopicProofs::Next(const std::string& topic) const {
+LogOffset TopicFreshness::Next(const std::string& topic) const {
   const auto known = known_.find(topic);
   return known == known_.end() ? 0 : known->second.next;
 }
 
-TimePoint TopicProofs::AsOf() const {
+TimePoint TopicFreshness::OldestFreshness() const {
   if (known_.empty()) return {};
   return std::min_element(known_.begin(), known_.end(),
                           [](const auto& a, const auto& b) {
@@ -45,13 +45,13 @@
       ->second.as_of;
 }
 
-bool TopicProofs::HasCaughtUp() const {
+bool TopicFreshness::HasCaughtUp() const {
   return std::all_of(claims_.begin(), claims_.end(), [this](const auto& item) {
     return Next(item.first) >= item.second.next;
   });
 }
 
-Json TopicProofs::ToJson(TimePoint now) const {
+Json TopicFreshness::ToJson(TimePoint now) const {
   Json json = Json::object();
   for (const auto& [topic, proof] : known_) {
     json[topic] = Json{{"next", proof.next},
--- a/node/topic_proofs.h
+++ b/node/topic_freshness.h
@@ -1,5 +1,5 @@
-#ifndef APPLEHALL_NODE_TOPIC_PROOFS_H_
-#define APPLEHALL_NODE_TOPIC_PROOFS_H_
+#ifndef APPLEHALL_NODE_TOPIC_FRESHNESS_H_
+#define APPLEHALL_NODE_TOPIC_FRESHNESS_H_
 
 #include <map>
 #include <string>
@@ -11,7 +11,7 @@
 namespace applehall {
 
 // Up to where a topic of the store is known, and as of when that is all of it.
-struct TopicProof {
+struct TopicState {
   LogOffset next = 0;
   // Proven by an answer about this topic, or by a host that has such a proof.
   TimePoint as_of;
@@ -19,7 +19,7 @@
 };
 
 // As of when this host knows each topic of the store.
-class TopicProofs {
+class TopicFreshness {
  public:
   // This host knows `topic` up to `next`, now or sooner than any claim of it.
   // Not thread-safe.
@@ -37,20 +37,20 @@
   LogOffset Next(const std::string& topic) const;
   // Of the topic whose proof is oldest; the epoch if one has none, or nothing
   // is known. Not thread-safe.
-  TimePoint AsOf() const;
+  TimePoint OldestFreshness() const;
   // No reader is known to be further. Not thread-safe.
   bool HasCaughtUp() const;
-  const std::map<std::string, TopicProof>& known() const { return known_; }
+  const std::map<std::string, TopicState>& known() const { return known_; }
   // By topic: offset, age and source of the proof. Not thread-safe.
   Json ToJson(TimePoint now) const;
 
  private:
-  static void Merge(const TopicProof& claim, TopicProof& known);
+  static void Merge(const TopicState& claim, TopicState& known);
 
-  std::map<std::string, TopicProof> known_;
-  std::map<std::string, TopicProof> claims_;  // Beyond what is known.
+  std::map<std::string, TopicState> known_;
+  std::map<std::string, TopicState> claims_;  // Beyond what is known.
 };
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_NODE_TOPIC_PROOFS_H_
+#endif  // APPLEHALL_NODE_TOPIC_FRESHNESS_H_
--- a/node/wait_policy.cc
+++ b/node/wait_policy.cc
@@ -99,7 +99,7 @@
   const DemandStatus status =
       is_fresh ? state.answer.status : DemandStatus::kUnknown;
   const Duration expected = is_fresh ? state.answer.expected : Duration{0};
-  const PutOff put_off = is_fresh ? state.answer.put_off : PutOff::kNone;
+  const Deferral deferral = is_fresh ? state.answer.deferral : Deferral::kNone;
   const TimePoint ready_at = state.answered_at + expected;
   const bool is_dated =
       status == DemandStatus::kLoading || status == DemandStatus::kQueued;
@@ -120,7 +120,7 @@
         {handle, NotRun(RefusalReason::kCannotMeetDeadline,
                         absl::StrCat(target, " is ", DemandStatusName(status),
                                      ", expected in ", ToMillis(expected),
-                                     " ms, put off: ", PutOffName(put_off)),
+                                     " ms, put off: ", DeferralName(deferral)),
                         std::max(expected, kRetrySoon))});
   }
   return refused;
--- a/node/wait_policy.h
+++ b/node/wait_policy.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 #include "node/node_context.h"
 #include "node/target_state.h"
 
@@ -17,7 +17,7 @@
 class WaitPolicy {
  public:
   // All must outlive this.
-  WaitPolicy(NodeContext& context, const LimitKeeper& limits,
+  WaitPolicy(NodeContext& context, const LimitManager& limits,
              const OpenRequests& requests)
       : context_(context), limits_(limits), requests_(requests) {}
 
@@ -63,7 +63,7 @@
   static TimePoint LastStart(const OpenRequest& request);
 
   NodeContext& context_;
-  const LimitKeeper& limits_;
+  const LimitManager& limits_;
   const OpenRequests& requests_;
 };
 
--- a/placement/demand.h
+++ b/placement/demand.h
@@ -48,31 +48,31 @@
 
 // Why the owner has ordered nothing yet for what waits. The later a reason
 // stands, the nearer a load was.
-enum class PutOff : uint8_t {
-  kNone,           // An order was given, or nobody looked yet.
-  kNoEngine,       // No engine that answers could hold it.
-  kStoreFull,      // No engine has a copy, and the store brings others.
-  kNothingToDrop,  // All that the engines hold is in use or just came.
-  kWorthLess,      // What would have to go is worth more.
-  kReserved,       // The engines are kept for others that wait.
-  kEngineBusy,     // The best engine carries out another order.
+enum class Deferral : uint8_t {
+  kNone,              // An order was given, or nobody looked yet.
+  kNoEngine,          // No engine that answers could hold it.
+  kStoreFull,         // No engine has a copy, and the store brings others.
+  kNothingToEvict,    // All that the engines hold is in use or just came.
+  kVictimsWorthMore,  // What would have to go is worth more.
+  kReserved,          // The engines are kept for others that wait.
+  kEngineBusy,        // The best engine carries out another order.
 };
 
-constexpr const char* PutOffName(PutOff reason) {
+constexpr const char* DeferralName(Deferral reason) {
   switch (reason) {
-    case PutOff::kNone:
+    case Deferral::kNone:
       return "none";
-    case PutOff::kNoEngine:
+    case Deferral::kNoEngine:
       return "no_engine";
-    case PutOff::kStoreFull:
+    case Deferral::kStoreFull:
       return "store_full";
-    case PutOff::kNothingToDrop:
+    case Deferral::kNothingToEvict:
       return "nothing_to_drop";
-    case PutOff::kWorthLess:
+    case Deferral::kVictimsWorthMore:
       return "worth_less";
-    case PutOff::kReserved:
+    case Deferral::kReserved:
       return "reserved";
-    case PutOff::kEngineBusy:
+    case Deferral::kEngineBusy:
       return "engine_busy";
   }
   return "none";
@@ -83,7 +83,7 @@
   std::string group;
   DemandStatus status = DemandStatus::kUnknown;
   Duration expected{0};  // Until it is ready, if it will be.
-  PutOff put_off = PutOff::kNone;
+  Deferral deferral = Deferral::kNone;
 };
 
 }  // namespace applehall
--- a/placement/engine_owner.cc
+++ b/placement/engine_owner.cc
@@ -90,7 +90,7 @@
   engines_ = std::move(next);
 }
 
-int EngineOwner::TakeOpenStoreLoads() {
+int EngineOwner::ReleaseStoreLoads() {
   const auto open = std::count_if(
       load_tiers_.begin(), load_tiers_.end(), [](const auto& entry) {
         return entry.second == CheckpointTier::kRemote;
@@ -700,7 +700,7 @@
   return answer;
 }
 
-bool EngineOwner::IsQuiet(TimePoint now) const {
+bool EngineOwner::IsIdle(TimePoint now) const {
   return std::none_of(engines_.begin(), engines_.end(), [&](const auto& item) {
     return item.second.ledger.HasUnsettled(now + Duration{1});
   });
--- a/placement/engine_owner.h
+++ b/placement/engine_owner.h
@@ -52,7 +52,7 @@
 };
 
 // A placement event worth a line in the log and in the decision ring.
-struct PlacementNote {
+struct PlacementEvent {
   std::string event;
   std::string engine;
   std::string target;
@@ -99,16 +99,16 @@
                       const std::function<int(const std::string&, int)>& quota,
                       TimePoint now) const;
   // True when no order can be under way any more. Not thread-safe.
-  bool IsQuiet(TimePoint now) const;
+  bool IsIdle(TimePoint now) const;
   // Takes what happened since the last call. Not thread-safe.
-  std::vector<PlacementNote> TakeNotes() { return std::exchange(notes_, {}); }
+  std::vector<PlacementEvent> TakeEvents() { return std::exchange(notes_, {}); }
   const std::string& group() const { return group_; }
   FencingToken token() const { return token_; }
   // Ends the store's part of all loads; their engines go on. For an owner
   // that retires. The result is how many there were. Not thread-safe.
-  int TakeOpenStoreLoads();
+  int ReleaseStoreLoads();
   // True if a load waits for the store; a reason to borrow.
-  bool wants_store() const { return wants_store_; }
+  bool needs_store() const { return wants_store_; }
 
   struct EngineState {
     EngineFacts facts;
@@ -226,7 +226,7 @@
   std::map<std::string, CheckpointTier> load_tiers_;  // By engine/target.
   IdlePolicy idle_policy_;
   LoadPredictor predictor_;
-  std::vector<PlacementNote> notes_;
+  std::vector<PlacementEvent> notes_;
   int ended_store_loads_ = 0;
 };
 
--- a/placement/fleet_planner.cc
+++ b/placement/fleet_planner.cc
@@ -272,13 +272,13 @@
          !engine.listed.is_leaving && !engine.call;
 }
 
-bool FleetPlanner::IsQuiet() const {
+bool FleetPlanner::IsIdle() const {
   return std::none_of(engines_.begin(), engines_.end(), [](const auto& item) {
     return item.second.call.has_value();
   });
 }
 
-std::vector<std::string> FleetPlanner::ReadyOn(
+std::vector<std::string> FleetPlanner::ReadyTargetsOf(
     const std::string& engine) const {
   std::vector<std::string> ready;
   const auto it = engines_.find(engine);
@@ -294,8 +294,8 @@
   return ready;
 }
 
-double FleetPlanner::ArrivalsAt(const std::string& engine,
-                                TimePoint now) const {
+double FleetPlanner::ArrivalRate(const std::string& engine,
+                                 TimePoint now) const {
   const auto it = engines_.find(engine);
   if (it == engines_.end()) return 0;
   double arrivals = 0;
@@ -309,7 +309,7 @@
   return arrivals;
 }
 
-uint64_t FleetPlanner::VersionOf(const std::string& engine) const {
+uint64_t FleetPlanner::StateVersion(const std::string& engine) const {
   const auto it = engines_.find(engine);
   return it == engines_.end() || !it->second.is_known ? 0 : it->second.version;
 }
@@ -870,7 +870,7 @@
       policies_.Has(Policy::kReservations) && engine.reserved_until > now &&
       engine.reserved_for != entry.name && !engine.reserved_for.empty();
   if (is_reserved) {
-    search.Reject(PutOff::kReserved);
+    search.Reject(Deferral::kReserved);
     return std::nullopt;
   }
   Option option;
@@ -893,7 +893,7 @@
     const uint64_t needed = used + entry.bytes - engine_class->memory_bytes;
     option.victims = ChooseVictims(engine, needed, now);
     if (option.victims.empty()) {
-      search.Reject(PutOff::kNothingToDrop);
+      search.Reject(Deferral::kNothingToEvict);
       return std::nullopt;
     }
     for (const std::string& victim : option.victims) {
@@ -908,7 +908,7 @@
   // Nothing is unloaded that earns more a second than what it makes room for
   // is worth in all: demand that has moved on would push out what is asked for.
   if (loss > worth) {
-    search.Reject(PutOff::kWorthLess);
+    search.Reject(Deferral::kVictimsWorthMore);
     return std::nullopt;
   }
   const double blocked = BlockedAdapterLoss(engine, ready_in);
@@ -926,7 +926,7 @@
                              double worth, bool at_once_only, TimePoint now,
                              Search& search) {
   if (at_once_only && (engine.model_order || !MayOrder(engine))) {
-    search.Reject(PutOff::kEngineBusy);
+    search.Reject(Deferral::kEngineBusy);
     return;
   }
   std::optional<Option> option =
@@ -946,7 +946,7 @@
     TryEngine(engines_.at(id), entry, worth, at_once_only, now, search);
   }
   if (!HasStoreRoom(entry.service, now)) {
-    search.Reject(PutOff::kStoreFull);
+    search.Reject(Deferral::kStoreFull);
     return search;
   }
   for (auto& [id, engine] : engines_) {
@@ -1028,20 +1028,21 @@
   return true;
 }
 
-PutOff FleetPlanner::PlaceModel(const CatalogueEntry& entry, double worth,
-                                const std::string& reason, bool at_once_only,
-                                TimePoint now,
-                                std::vector<OrderToSend>& orders) {
+Deferral FleetPlanner::PlaceModel(const CatalogueEntry& entry, double worth,
+                                  const std::string& reason, bool at_once_only,
+                                  TimePoint now,
+                                  std::vector<OrderToSend>& orders) {
   if (Engine* prepared = EngineMakingRoom(entry.name, now)) {
-    if (!MayLoadAfterUnload(*prepared, entry, now)) return PutOff::kEngineBusy;
+    if (!MayLoadAfterUnload(*prepared, entry, now))
+      return Deferral::kEngineBusy;
     prepared->unload_before = prepared->model_order;
     SendOrder(*prepared, OrderKind::kLoad, entry, TierOn(*prepared, entry.name),
               reason, now, orders);
-    return PutOff::kNone;
+    return Deferral::kNone;
   }
   const Search search = BestOption(entry, worth, at_once_only, now);
   const std::optional<Option>& option = search.best;
-  if (!option) return search.put_off;
+  if (!option) return search.deferral;
   Engine& engine = *option->engine;
   if (!MayOrder(engine) || engine.model_order) {
     // Waiting for this engine is quicker than any other way.
@@ -1050,7 +1051,7 @@
       engine.reserved_for = entry.name;
       engine.reserved_until = now + kEndPoll;
     }
-    return PutOff::kEngineBusy;
+    return Deferral::kEngineBusy;
   }
   engine.reserved_for = entry.name;
   engine.reserved_until = now + kReservation;
@@ -1062,11 +1063,11 @@
     unknown.name = option->victims.front();
     SendOrder(engine, OrderKind::kUnload, victim ? *victim : unknown,
               option->tier, absl::StrCat("room for ", entry.name), now, orders);
-    return PutOff::kNone;
+    return Deferral::kNone;
   }
   engine.reserved_for.clear();
   SendOrder(engine, OrderKind::kLoad, entry, option->tier, reason, now, orders);
-  return PutOff::kNone;
+  return Deferral::kNone;
 }
 
 int FleetPlanner::AdapterSlotsTaken(const Engine& engine) {
@@ -1185,11 +1186,11 @@
       PlaceAdapter(*entry, demand.worth, now, orders);
       continue;
     }
-    const PutOff put_off = PlaceModel(
+    const Deferral deferral = PlaceModel(
         *entry, demand.worth,
         absl::StrCat(demand.waiting, " waiting, worth ", demand.worth), false,
         now, orders);
-    NotePutOff(demand.target, put_off);
+    NotePutOff(demand.target, deferral);
   }
   if (next_look_.size() > kMostLooks) next_look_.clear();
   if (put_off_.size() > kMostLooks) put_off_.clear();
@@ -1198,12 +1199,12 @@
 
 // One line for each change of the reason, so that a refusal can be traced to
 // what stood in the way of its model without a line for each look.
-void FleetPlanner::NotePutOff(const std::string& target, PutOff reason) {
+void FleetPlanner::NotePutOff(const std::string& target, Deferral reason) {
   const auto [known, is_new] = put_off_.try_emplace(target, reason);
   if (!is_new && known->second == reason) return;
   known->second = reason;
-  if (reason == PutOff::kNone) return;
-  Note("load_put_off", "", target, PutOffName(reason));
+  if (reason == Deferral::kNone) return;
+  Note("load_put_off", "", target, DeferralName(reason));
 }
 
 // Requests for adapters run on their base model's replicas.
@@ -1323,10 +1324,10 @@
     if (!entry.base.empty() || entry.service.empty()) continue;
     const Whereabouts& where = WhereIs(name);
     if (!where.holders.empty() || !where.copies.empty()) continue;
-    const PutOff put_off =
+    const Deferral deferral =
         PlaceModel(entry, kSeedWorth, "no copy at hand", true, now, orders);
     // Nowhere for this one is nowhere for those of its size.
-    if (put_off != PutOff::kNone || StoreLoads() >= most) return;
+    if (deferral != Deferral::kNone || StoreLoads() >= most) return;
   }
 }
 
@@ -1410,8 +1411,8 @@
     answer.status = DemandStatus::kReady;
     return answer;
   }
-  const auto put_off = put_off_.find(target);
-  if (put_off != put_off_.end()) answer.put_off = put_off->second;
+  const auto deferral = put_off_.find(target);
+  if (deferral != put_off_.end()) answer.deferral = deferral->second;
   const auto turn = store_turn_.find(target);
   if (turn != store_turn_.end()) {
     answer.status = DemandStatus::kQueued;
--- a/placement/fleet_planner.h
+++ b/placement/fleet_planner.h
@@ -58,22 +58,22 @@
   DemandAnswer Answer(const std::string& target, TimePoint now) const;
   // What requests may be sent to `engine` for; its version grows with each
   // change. Not thread-safe.
-  std::vector<std::string> ReadyOn(const std::string& engine) const;
-  uint64_t VersionOf(const std::string& engine) const;
+  std::vector<std::string> ReadyTargetsOf(const std::string& engine) const;
+  uint64_t StateVersion(const std::string& engine) const;
   // Requests of all hosts under way at `engine`, as far as reported.
-  int RequestsAt(const std::string& engine) const {
+  int RunningRequestCount(const std::string& engine) const {
     return usage_.RunningAt(engine);
   }
   // Requests a second for what `engine` holds, its share where others hold it
   // too. Not thread-safe.
-  double ArrivalsAt(const std::string& engine, TimePoint now) const;
+  double ArrivalRate(const std::string& engine, TimePoint now) const;
   // An engine has seen a higher token than this planner's.
   bool is_superseded() const { return is_superseded_; }
   // No order awaits its answer.
-  bool IsQuiet() const;
+  bool IsIdle() const;
   FencingToken token() const { return token_; }
   // Takes what happened since the last call. Not thread-safe.
-  std::vector<PlacementNote> TakeNotes() { return std::exchange(notes_, {}); }
+  std::vector<PlacementEvent> TakeEvents() { return std::exchange(notes_, {}); }
   Json ToJson(TimePoint now) const;
 
  private:
@@ -167,9 +167,9 @@
   // The best way found so far, and what stood nearest to one where none is.
   struct Search {
     std::optional<Option> best;
-    PutOff put_off = PutOff::kNoEngine;
+    Deferral deferral = Deferral::kNoEngine;
 
-    void Reject(PutOff reason) { put_off = std::max(put_off, reason); }
+    void Reject(Deferral reason) { deferral = std::max(deferral, reason); }
   };
   std::optional<Option> OptionOn(Engine& engine, const CatalogueEntry& entry,
                                  double worth, bool is_background,
@@ -186,15 +186,15 @@
   bool TakeRefusedLoad(Engine& engine, const OpenOrder& call,
                        OrderResult result, TimePoint now);
   // What stands in the way; kNone if an order was given.
-  PutOff PlaceModel(const CatalogueEntry& entry, double worth,
-                    const std::string& reason, bool at_once_only, TimePoint now,
-                    std::vector<OrderToSend>& orders);
+  Deferral PlaceModel(const CatalogueEntry& entry, double worth,
+                      const std::string& reason, bool at_once_only,
+                      TimePoint now, std::vector<OrderToSend>& orders);
   void PlaceAdapter(const CatalogueEntry& entry, double worth, TimePoint now,
                     std::vector<OrderToSend>& orders);
   bool MakeAdapterRoom(Engine& engine, TimePoint now,
                        std::vector<OrderToSend>& orders);
   static int AdapterSlotsTaken(const Engine& engine);
-  void NotePutOff(const std::string& target, PutOff reason);
+  void NotePutOff(const std::string& target, Deferral reason);
   void ServeWaiting(TimePoint now, std::vector<OrderToSend>& orders);
   // How many replicas an engine is worth: one, or less if it limits itself.
   double ShareOf(const std::string& engine) const;
@@ -252,7 +252,7 @@
   absl::flat_hash_map<std::string, TimePoint> next_look_;
   absl::flat_hash_map<std::string, TimePoint> store_turn_;
   // Why a waiting target was not ordered when it was last looked at.
-  absl::flat_hash_map<std::string, PutOff> put_off_;
+  absl::flat_hash_map<std::string, Deferral> put_off_;
   TimePoint seeds_at_;
   TimePoint fills_at_;
   UsageTable usage_;
@@ -272,7 +272,7 @@
   double store_width_;
   bool is_store_width_known_ = false;  // A load was slowed by others.
   bool is_superseded_ = false;
-  std::vector<PlacementNote> notes_;
+  std::vector<PlacementEvent> notes_;
 };
 
 }  // namespace applehall
--- a/placement/store_budget.cc
+++ b/placement/store_budget.cc
@@ -21,13 +21,13 @@
   slot_share_ = slots;
 }
 
-double StoreBudget::loads_saved(TimePoint now) const {
+double StoreBudget::available_loads(TimePoint now) const {
   const double elapsed = std::max(0.0, ToSeconds(now - refilled_at_));
   return std::min(kMostSaved, saved_ + rate_ * elapsed);
 }
 
 void StoreBudget::Refill(TimePoint now) {
-  saved_ = loads_saved(now);
+  saved_ = available_loads(now);
   refilled_at_ = std::max(refilled_at_, now);
   const auto is_over = [now](const auto& loan) { return loan.second <= now; };
   std::erase_if(lent_slots_, is_over);
@@ -82,7 +82,7 @@
 }
 
 Duration StoreBudget::WaitFor(TimePoint now) const {
-  const double missing = 1.0 - loads_saved(now);
+  const double missing = 1.0 - available_loads(now);
   if (missing <= 0 || rate_ <= 0) return Duration{0};
   return FromSeconds(missing / rate_);
 }
--- a/placement/store_budget.h
+++ b/placement/store_budget.h
@@ -42,7 +42,7 @@
 
   // How long until a load could begin, if nothing is borrowed.
   Duration WaitFor(TimePoint now) const;
-  double loads_saved(TimePoint now) const;
+  double available_loads(TimePoint now) const;
   int slots_in_use() const { return in_use_; }
   double slots(TimePoint now) const;
 
