--- a/routing/crash_ledger.cc
+++ b/routing/crash_ledger.cc
@@ -58,7 +58,7 @@
     MakeRoom(now);
   }
   Suspect& suspect = suspects_[end.fingerprint];
-  const bool is_old = now - suspect.last_at > kSuspicionLife;
+  const bool is_old = now - suspect.last_at > kSuspicionTtl;
   if (is_old) suspect = {};
   suspect.last_at = now;
   AddEnd(end, suspect.ends);
@@ -72,7 +72,7 @@
   return ends >= kEndsToSuspect ? Finding::kSuspect : Finding::kNothing;
 }
 
-void CrashLedger::Convict(uint64_t fingerprint, TimePoint now) {
+void CrashLedger::MarkProven(uint64_t fingerprint, TimePoint now) {
   while (!explained_.empty() &&
          now - explained_.front().at > kExplanationLife) {
     explained_.pop_front();
@@ -94,7 +94,7 @@
 // end, of these the oldest.
 void CrashLedger::MakeRoom(TimePoint now) {
   std::erase_if(suspects_, [&](const auto& item) {
-    return now - item.second.last_at > kSuspicionLife;
+    return now - item.second.last_at > kSuspicionTtl;
   });
   std::vector<std::pair<std::pair<size_t, TimePoint>, uint64_t>> ranked;
   for (const auto& [fingerprint, suspect] : suspects_) {
--- a/routing/crash_ledger.h
+++ b/routing/crash_ledger.h
@@ -13,7 +13,7 @@
 
 // A request that is repeated more rarely ends a server now and then, as other
 // faults do.
-inline constexpr Duration kSuspicionLife = std::chrono::minutes(10);
+inline constexpr Duration kSuspicionTtl = std::chrono::minutes(10);
 
 // A backend server ended with a request under way.
 struct ServerEnd {
@@ -42,7 +42,7 @@
   void Clear(uint64_t fingerprint) { suspects_.erase(fingerprint); }
   // It was proven, here or elsewhere: the servers that ended under it speak
   // against no other request any more. Not thread-safe.
-  void Convict(uint64_t fingerprint, TimePoint now);
+  void MarkProven(uint64_t fingerprint, TimePoint now);
   // Whether more than one server ended under it. Not thread-safe.
   bool IsSuspect(uint64_t fingerprint) const;
   size_t size() const { return suspects_.size(); }
--- a/routing/quarantine.h
+++ b/routing/quarantine.h
@@ -12,7 +12,7 @@
 
 // After it a request gets another chance, for which servers may have been
 // mended; one that still ends them costs three servers an hour.
-inline constexpr Duration kQuarantineLife = std::chrono::minutes(60);
+inline constexpr Duration kQuarantineTtl = std::chrono::minutes(60);
 
 // Contents of requests that are sent to no server until a given time.
 class Quarantine {
--- a/soak/platform_standin.cc
+++ b/soak/platform_standin.cc
@@ -234,7 +234,7 @@
   engine->load_from_disk = milliseconds(200);
   engine->load_from_store = milliseconds(600);
   for (const std::string& model : models) {
-    engine->Hold(model, kModelMegabytes * kBytesPerMegabyte);
+    engine->Place(model, kModelMegabytes * kBytesPerMegabyte);
   }
   return Start(std::move(engine), "llm");
 }
@@ -252,7 +252,7 @@
   if (server.engine) {
     entry["models"] = Json::array();
     entry["at_hand"] = Json{{"on_disk", Json::array()}};
-    const ListedServer listing = server.engine->Listing();
+    const ListedServer listing = server.engine->ListedEntry();
     for (const auto& [model, adapters] : listing.models) {
       entry["models"].push_back({{"name", model}, {"version", 1}});
     }
@@ -287,8 +287,8 @@
   return ids;
 }
 
-void PlatformStandin::TakeOrder(Server& server, const HttpRequest& request,
-                                HttpResponse& response) {
+void PlatformStandin::HandleOrder(Server& server, const HttpRequest& request,
+                                  HttpResponse& response) {
   const absl::StatusOr<Json> body = ParseJson(request.body);
   if (!body.ok()) {
     response.status = 400;
@@ -304,7 +304,7 @@
   if (body->contains("precondition")) {
     order.after_orders = FieldOr<uint64_t>(*body, "precondition", 0);
   }
-  switch (server.engine->Take(order, clock_.Now())) {
+  switch (server.engine->Execute(order, clock_.Now())) {
     case OrderResult::kAccepted:
       response.status = 202;
       break;
@@ -359,9 +359,9 @@
     }
     response = HttpResponse::JsonText(200, report.dump());
   } else if (request.Path() == "/v1/order" && server->engine) {
-    TakeOrder(*server, request, response);
+    HandleOrder(*server, request, response);
   } else if (server->engine &&
-             !server->engine->Holds(request.Header("x-model"))) {
+             !server->engine->IsLoaded(request.Header("x-model"))) {
     response = TurnedAway(attempt, 421);
   } else if (request.body.starts_with(kPoisonBody)) {
     exchange.Abort();
--- a/soak/platform_standin.h
+++ b/soak/platform_standin.h
@@ -114,8 +114,8 @@
   Awaitable<void> EndUnderPoison(std::string id, std::string attempt,
                                  std::string body);
   Awaitable<void> ServeStream(std::string id, HttpExchange& exchange);
-  void TakeOrder(Server& server, const HttpRequest& request,
-                 HttpResponse& response);
+  void HandleOrder(Server& server, const HttpRequest& request,
+                   HttpResponse& response);
   void Put(const std::string& topic, const std::string& key,
            const std::string& value);
   void List(const std::string& id);
--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -197,7 +197,7 @@
     return;
   }
   if (log_down_ || cut_.contains(host.data_centre)) {
-    Tell(name, life, LogFailed{});
+    Tell(name, life, LogUnavailable{});
     At(kLogRetry, again);
     return;
   }
@@ -210,7 +210,7 @@
     from = std::max(from, batch.first_offset);
     if (!batch.records.empty()) from = batch.records.back().offset + 1;
     At(settings_.log_delay + log_extra_, [=, this] {
-      if (!log_down_) Tell(name, life, LogRead{batch});
+      if (!log_down_) Tell(name, life, LogBatchRead{batch});
     });
   }
   At(std::max(settings_.tick, settings_.log_delay + log_extra_), again);
@@ -288,14 +288,14 @@
   const uint64_t life = host.life;
   if (cut_.contains(host.data_centre)) {
     At(kLogRetry, [=, this] {
-      Tell(name, life, LogFailed{});
+      Tell(name, life, LogUnavailable{});
       Tell(name, life, AppendEnded{action.record_id, false});
     });
     return;
   }
   At(settings_.log_delay + log_extra_, [=, this] {
     if (log_down_) {
-      Tell(name, life, LogFailed{});
+      Tell(name, life, LogUnavailable{});
       Tell(name, life, AppendEnded{action.record_id, false});
       return;
     }
@@ -332,7 +332,7 @@
   if (it == engines_.end() || failing_engines_.contains(action.engine)) return;
   if (IsCut(host, action.engine)) return;
   const TimePoint asked_at = now_;
-  const Inventory inventory = it->second->TakeOrder(action.order, now_);
+  const Inventory inventory = it->second->HandleOrder(action.order, now_);
   if (action.order.kind != OrderKind::kInspect) CheckEngines();
   // Answers are lost and late as orders are.
   if (order_loss_ > 0 && random_.Unit() < order_loss_) return;
@@ -340,8 +340,8 @@
   At(Delay(host, action.engine) + late, [=, this] {
     // Over the wire ages are relative, so times shift by the delay.
     Tell(host, life,
-         EngineAnswered{Inventory::FromJson(inventory.ToJson(asked_at), now_),
-                        asked_at});
+         InventoryReceived{
+             Inventory::FromJson(inventory.ToJson(asked_at), now_), asked_at});
   });
 }
 
@@ -626,7 +626,7 @@
       const RequestHandle handle = it->first;
       host->origins.erase(it);
       open_.erase(request);
-      Tell(name, host->life, CallerGone{handle});
+      Tell(name, host->life, CallerDisconnected{handle});
       return;
     }
   }
@@ -650,13 +650,13 @@
     return;
   }
   RequestOutcome& outcome = outcomes_.at(origin.request);
-  ++outcome.answers;
+  ++outcome.answer_count;
   outcome.is_answered = answered;
   outcome.refusal = refusal;
   outcome.rule = rule;
   outcome.ended_at = now_;
   open_.erase(origin.request);
-  if (outcome.answers > 1) Break("a request was answered twice");
+  if (outcome.answer_count > 1) Break("a request was answered twice");
   if (!answered && refusal.verdict == Verdict::kNotRun &&
       runs_of_request_[origin.request] > 0) {
     Break(absl::StrCat("\"not run\" was not true: request ", origin.request,
@@ -673,7 +673,7 @@
   for (const auto& [handle, origin] : host.origins) {
     if (origin.from_host.empty()) {
       open_.erase(origin.request);
-      outcomes_[origin.request].answers = 1;
+      outcomes_[origin.request].answer_count = 1;
       outcomes_[origin.request].refusal = {
           Verdict::kMayHaveRun, RefusalReason::kBackendFailed, "host died", {}};
       outcomes_[origin.request].ended_at = now_;
@@ -686,7 +686,7 @@
   host.origins.clear();
 }
 
-void Deployment::ReviveHost(const std::string& name) {
+void Deployment::RestartHost(const std::string& name) {
   const std::string centre = hosts_.at(name)->data_centre;
   hosts_.erase(name);
   StartHost(name, centre);
@@ -713,12 +713,12 @@
   Tell(name, hosts_.at(name)->life, DrainRequested{});
 }
 
-void Deployment::ListLeaving(const std::string& name) {
+void Deployment::MarkLeaving(const std::string& name) {
   listed_[name].is_leaving = true;
   RecordHistory();
 }
 
-void Deployment::ListGone(const std::string& name) {
+void Deployment::RemoveFromHostList(const std::string& name) {
   listed_.erase(name);
   RecordHistory();
 }
@@ -733,7 +733,7 @@
   order_late_ = late;
 }
 
-void Deployment::CutDataCentre(const std::string& name, bool cut) {
+void Deployment::PartitionDataCentre(const std::string& name, bool cut) {
   if (cut) {
     cut_.insert(name);
   } else {
@@ -741,7 +741,7 @@
   }
 }
 
-void Deployment::FailEngine(const std::string& name, bool failing) {
+void Deployment::SetEngineFailing(const std::string& name, bool failing) {
   if (failing) {
     failing_engines_.insert(name);
   } else {
@@ -749,7 +749,7 @@
   }
 }
 
-void Deployment::FailServices(bool failing) {
+void Deployment::SetServicesFailing(bool failing) {
   for (auto& [name, service] : services_) service.is_failing = failing;
 }
 
@@ -759,7 +759,7 @@
   RecordHistory();
 }
 
-void Deployment::FailLoads(bool fail) {
+void Deployment::SetLoadsFailing(bool fail) {
   for (auto& [name, engine] : engines_) engine->SetFailLoads(fail);
 }
 
@@ -796,7 +796,7 @@
   return runs;
 }
 
-uint64_t Deployment::loads_decided() const {
+uint64_t Deployment::total_loads() const {
   uint64_t loads = 0;
   for (const auto& [name, engine] : engines_) loads += engine->loads_begun();
   return loads;
@@ -816,8 +816,8 @@
   return total;
 }
 
-bool Deployment::IsWarm(const std::string& host,
-                        const std::string& model) const {
+bool Deployment::HasReadyReplica(const std::string& host,
+                                 const std::string& model) const {
   const std::string centre = hosts_.at(host)->data_centre;
   return std::any_of(engines_.begin(), engines_.end(), [&](const auto& entry) {
     return entry.second->settings().data_centre == centre &&
@@ -847,7 +847,7 @@
   std::map<std::string, int> replicas;
   for (const auto& [name, engine] : engines_) {
     if (engine->was_overcommitted()) Break("overcommitted: " + name);
-    for (const std::string& model : engine->Resident()) {
+    for (const std::string& model : engine->ResidentTargets()) {
       ++replicas[absl::StrCat(engine->settings().data_centre, "/", model)];
     }
   }
--- a/standins/deployment.h
+++ b/standins/deployment.h
@@ -45,7 +45,7 @@
 
 // What one caller saw of one request.
 struct RequestOutcome {
-  int answers = 0;  // Must become exactly 1.
+  int answer_count = 0;  // Must become exactly 1.
   bool is_answered = false;
   Refusal refusal;
   TimePoint sent_at;
@@ -87,28 +87,28 @@
 
   // Failures. Each lasts until taken back.
   void KillHost(const std::string& host);
-  void ReviveHost(const std::string& host);  // As a new incarnation.
+  void RestartHost(const std::string& host);  // As a new incarnation.
   void PauseHost(const std::string& host);
   void ResumeHost(const std::string& host);
   void DrainHost(const std::string& host);
   // The platform's host list: marks a host or backend server as leaving, or
   // takes it off.
-  void ListLeaving(const std::string& name);
-  void ListGone(const std::string& name);
-  void SetLogDown(bool down) { log_down_ = down; }
-  void SetLogSlow(Duration extra) { log_extra_ = extra; }
-  void SetStoreSlow(double factor) { store_.SetSlowness(factor); }
+  void MarkLeaving(const std::string& name);
+  void RemoveFromHostList(const std::string& name);
+  void SetLogUnavailable(bool down) { log_down_ = down; }
+  void SetLogDelay(Duration extra) { log_extra_ = extra; }
+  void SetStoreSlowdown(double factor) { store_.SetSlowness(factor); }
   void SetReportLag(Duration lag);
-  void LoseAppendAnswers(int count) { lose_append_answers_ = count; }
+  void LoseAppendResponses(int count) { lose_append_answers_ = count; }
   void SetOrderFaults(double lost, double doubled, Duration late);
-  void CutDataCentre(const std::string& name, bool cut);
-  void FailEngine(const std::string& name, bool failing);
+  void PartitionDataCentre(const std::string& name, bool cut);
+  void SetEngineFailing(const std::string& name, bool failing);
   // Engines break this share of the requests they begin.
   void SetEngineFlakiness(double share) { flakiness_ = share; }
   // Services take calls, and break before they answer.
-  void FailServices(bool failing);
+  void SetServicesFailing(bool failing);
   void RestartEngine(const std::string& name);
-  void FailLoads(bool fail);
+  void SetLoadsFailing(bool fail);
   // Before each peer message; false drops it.
   void SetPeerLoss(double share) { peer_loss_ = share; }
 
@@ -131,15 +131,15 @@
   int RunsOfKey(const std::string& key) const;
   uint64_t dispatched() const { return dispatched_; }
   // When engines ended under poison requests, in the order of time.
-  const std::vector<TimePoint>& poison_ends() const { return poison_ends_; }
-  uint64_t loads_decided() const;
+  const std::vector<TimePoint>& poison_crashes() const { return poison_ends_; }
+  uint64_t total_loads() const;
   // Promises broken so far, each with what was seen; checked after each step
   // against the fakes, not against the nodes' own tables.
-  const std::set<std::string>& broken_promises() const { return broken_; }
+  const std::set<std::string>& violations() const { return broken_; }
   Duration idle_time() const;
   double idle_engine_seconds() const;
   // A replica of `model` is ready in the data centre of `host`.
-  bool IsWarm(const std::string& host, const std::string& model) const;
+  bool HasReadyReplica(const std::string& host, const std::string& model) const;
   Duration held_time() const;
 
  private:
@@ -185,8 +185,8 @@
   // Only fleets have a lease; these hosts place by groups.
   void On(Host&, const ReadLease&) {}
   void On(Host&, const AppendLease&) {}
-  void On(Host&, const FollowStore&) {}
-  void On(Host&, const TakeStoreNews&) {}
+  void On(Host&, const SetStorePolling&) {}
+  void On(Host&, const ApplyStoreUpdates&) {}
   void On(Host&, const ReadQuarantine&) {}
   void On(Host&, const AppendQuarantine&) {}
   void On(Host& host, const ProbeServer& action);
--- a/standins/fake_counted_engine.cc
+++ b/standins/fake_counted_engine.cc
@@ -4,7 +4,7 @@
 
 namespace applehall {
 
-void FakeCountedEngine::Hold(const std::string& model, uint64_t bytes) {
+void FakeCountedEngine::Place(const std::string& model, uint64_t bytes) {
   held_[model] = {"", bytes};
   on_disk_[model] = true;
 }
@@ -29,7 +29,8 @@
   started_at_ = now;
 }
 
-OrderResult FakeCountedEngine::Take(const EngineOrder& order, TimePoint now) {
+OrderResult FakeCountedEngine::Execute(const EngineOrder& order,
+                                       TimePoint now) {
   if (order.fence.token < highest_token_) return OrderResult::kStaleFence;
   highest_token_ = order.fence.token;
   if (open_) return OrderResult::kBusy;
@@ -38,7 +39,7 @@
   }
   if (!order.base.empty()) return TakeAdapter(order);
   const bool is_load = order.kind == OrderKind::kLoad;
-  if (is_load == Holds(order.name)) return OrderResult::kDone;
+  if (is_load == IsLoaded(order.name)) return OrderResult::kDone;
   Duration takes = unload_time;
   if (is_load) {
     takes = on_disk_.contains(order.name) ? load_from_disk : load_from_store;
@@ -55,8 +56,8 @@
     if (held_.erase(order.name) > 0) ++accepted_;
     return OrderResult::kDone;
   }
-  if (!Holds(order.base)) return OrderResult::kNoBase;
-  if (Holds(order.name)) return OrderResult::kDone;
+  if (!IsLoaded(order.base)) return OrderResult::kNoBase;
+  if (IsLoaded(order.name)) return OrderResult::kDone;
   if (Adapters() >= adapter_slots_) was_overcommitted_ = true;
   held_[order.name] = {order.base, order.bytes};
   ++accepted_;
@@ -67,7 +68,7 @@
   if (!open_ || open_->ends > now) return;
   const EngineOrder& order = open_->order;
   if (order.kind == OrderKind::kLoad) {
-    Hold(order.name, order.bytes);
+    Place(order.name, order.bytes);
   } else {
     held_.erase(order.name);
     std::erase_if(held_, [&](const auto& item) {
@@ -93,7 +94,7 @@
   return inventory;
 }
 
-ListedServer FakeCountedEngine::Listing() const {
+ListedServer FakeCountedEngine::ListedEntry() const {
   ListedServer server;
   server.id = id_;
   server.started_at = started_at_;
--- a/standins/fake_counted_engine.h
+++ b/standins/fake_counted_engine.h
@@ -28,17 +28,17 @@
   Duration unload_time = std::chrono::milliseconds(30);
 
   // Puts a model there, as at the start of a day.
-  void Hold(const std::string& model, uint64_t bytes);
+  void Place(const std::string& model, uint64_t bytes);
   // It lost a model without an order, and keeps its copy on disk.
-  void Drop(const std::string& model) { held_.erase(model); }
-  OrderResult Take(const EngineOrder& order, TimePoint now);
+  void Lose(const std::string& model) { held_.erase(model); }
+  OrderResult Execute(const EngineOrder& order, TimePoint now);
   // It starts again under its id: empty but for its disk, with counts anew.
   void Restart(TimePoint now);
   // Ends what is due. Call it before each question.
   void Advance(TimePoint now);
   Inventory Report() const;
-  ListedServer Listing() const;
-  bool Holds(const std::string& name) const { return held_.contains(name); }
+  ListedServer ListedEntry() const;
+  bool IsLoaded(const std::string& name) const { return held_.contains(name); }
   // It was ordered to load more than fits, which would have crashed it.
   bool was_overcommitted() const { return was_overcommitted_; }
   int model_loads() const { return model_loads_; }
--- a/standins/fake_engine.cc
+++ b/standins/fake_engine.cc
@@ -89,7 +89,7 @@
   }
 }
 
-Inventory FakeEngine::TakeOrder(const EngineOrder& order, TimePoint now) {
+Inventory FakeEngine::HandleOrder(const EngineOrder& order, TimePoint now) {
   Advance(now);
   OrderResult result = OrderResult::kDone;
   const auto known = results_.find(order.id);
@@ -258,7 +258,7 @@
   return it != slots_.end() && it->second.replica.state == ReplicaState::kReady;
 }
 
-std::vector<std::string> FakeEngine::Resident() const {
+std::vector<std::string> FakeEngine::ResidentTargets() const {
   std::vector<std::string> names;
   for (const auto& [name, slot] : slots_) names.push_back(name);
   return names;
--- a/standins/fake_engine.h
+++ b/standins/fake_engine.h
@@ -34,7 +34,7 @@
   FakeEngine(FakeEngineSettings settings, FakeWeightStore& store);
 
   // Obeys or refuses an order and answers with the inventory. Not thread-safe.
-  Inventory TakeOrder(const EngineOrder& order, TimePoint now);
+  Inventory HandleOrder(const EngineOrder& order, TimePoint now);
 
   enum class StartResult : uint8_t { kStarted, kModelAbsent, kFull };
   // A request for `target` begins / ends. Not thread-safe.
@@ -52,7 +52,7 @@
   bool IsReady(const std::string& target) const;
   int running() const { return running_; }
   // In memory now, loading ones included.
-  std::vector<std::string> Resident() const;
+  std::vector<std::string> ResidentTargets() const;
 
   // ---- Truth ----
   uint64_t memory_high_water() const { return memory_high_water_; }
--- a/standins/standin_server.cc
+++ b/standins/standin_server.cc
@@ -225,12 +225,12 @@
     co_return false;
   }
   if (faults.is_frozen) {
-    while (faults_[name].is_frozen && !exchange.is_peer_gone()) {
+    while (faults_[name].is_frozen && !exchange.is_peer_disconnected()) {
       co_await Sleep(io_, std::chrono::milliseconds(20));
     }
   }
   if (faults.slow > Duration::zero()) co_await Sleep(io_, faults.slow);
-  co_return !exchange.is_peer_gone();
+  co_return !exchange.is_peer_disconnected();
 }
 
 asio::awaitable<void> StandinServer::Answer(const std::string& name,
@@ -304,7 +304,8 @@
       Now() +
       std::min<Duration>(std::chrono::milliseconds(wait_ms), kMostLogWait);
   LogBatch batch = log_.Read(stream, from, kMostRecordsPerRead, Now());
-  while (batch.records.empty() && Now() < until && !exchange.is_peer_gone()) {
+  while (batch.records.empty() && Now() < until &&
+         !exchange.is_peer_disconnected()) {
     co_await Sleep(io_, kLogPoll);
     if (faults_["log"].is_down) {
       exchange.Abort();
@@ -433,7 +434,7 @@
   std::map<std::string, int> now;
   for (const auto& engine : engines_) {
     engine->fake.Advance(Now());
-    for (const std::string& name : engine->fake.Resident()) {
+    for (const std::string& name : engine->fake.ResidentTargets()) {
       ++now[engine->fake.settings().data_centre + "/" + name];
     }
   }
@@ -461,7 +462,7 @@
              {"unloads", fake.unloads_done()},
              {"requests_begun", engine->requests_begun},
              {"requests_done", engine->requests_done},
-             {"resident", fake.Resident()},
+             {"resident", fake.ResidentTargets()},
              {"idle_seconds", ToSeconds(fake.idle_time())},
              {"held_seconds", ToSeconds(fake.held_time())}};
   }
@@ -494,10 +495,10 @@
       co_return;
     }
     const EngineOrder order = EngineOrder::FromJson(*body);
-    Inventory inventory = engine.fake.TakeOrder(order, Now());
+    Inventory inventory = engine.fake.HandleOrder(order, Now());
     if (faults_[name].duplicate > 0) {
       --faults_[name].duplicate;
-      inventory = engine.fake.TakeOrder(order, Now());
+      inventory = engine.fake.HandleOrder(order, Now());
     }
     CountReplicas();
     co_await Answer(name, exchange, Ok(inventory.ToJson(Now())));
--- a/tests/admission/permit_ledger_test.cc
+++ b/tests/admission/permit_ledger_test.cc
@@ -24,7 +24,7 @@
 
   uint64_t Ask(Duration patience, double worth = 1,
                const std::string& caller = "c") {
-    PermitAsk ask;
+    HostPermitRequest ask;
     ask.host = "a";
     ask.id = ++last_id_;
     ask.server = kServer;
@@ -145,10 +145,11 @@
         now += milliseconds(10);
         for (int i = 0; i < 3; ++i) {
           PermitGate& gate = gates[random.Below(gates.size())];
-          sent += gate.TryAlone(kServer, limit, hosts, random.Unit(), now);
+          sent +=
+              gate.TrySendIsolated(kServer, limit, hosts, random.Unit(), now);
         }
       }
-      const double expected = kAloneShare * limit * kSeconds;
+      const double expected = kIsolatedShare * limit * kSeconds;
       EXPECT_LE(sent, expected * 1.3 + 6) << hosts << " " << limit;
       EXPECT_GE(sent, expected * 0.5 - 6) << hosts << " " << limit;
     }
--- a/tests/admission/quota_fixture.h
+++ b/tests/admission/quota_fixture.h
@@ -180,10 +180,10 @@
       Host& host = hosts_[message.host];
       if (host.is_cut || host.incarnation != message.incarnation) continue;
       if (!message.is_report) {
-        host.gate->TakeShares(*message.shares, static_cast<int>(size()), now_);
+        host.gate->ApplyShares(*message.shares, static_cast<int>(size()), now_);
       } else if (ledger_) {
-        ledger_->TakeUsage(absl::StrCat("h", message.host), "hall",
-                           message.incarnation, message.usage, now_);
+        ledger_->ApplyUsage(absl::StrCat("h", message.host), "hall",
+                            message.incarnation, message.usage, now_);
       }
     }
   }
--- a/tests/claims/claim_guard_test.cc
+++ b/tests/claims/claim_guard_test.cc
@@ -62,9 +62,10 @@
 // the door was opened twice.
 TEST_F(ClaimGuardTest, HostsStartedAlikeDoNotShareAClaim) {
   const std::string key = NewKey();
-  ASSERT_EQ(first_.Begin(1, key, clock_.Now()), ClaimGuard::Standing::kPending);
+  ASSERT_EQ(first_.Begin(1, key, clock_.Now()),
+            ClaimGuard::BeginResult::kPending);
   ASSERT_EQ(second_.Begin(2, key, clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
   Linger();
   AppendNext(first_);
   AppendNext(second_);
@@ -76,7 +77,7 @@
 // find out from the log itself, and run the request once.
 TEST_F(ClaimGuardTest, LostAppendAnswerIsSettledByReadingBack) {
   ASSERT_EQ(first_.Begin(1, NewKey(), clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
   Linger();
   ASSERT_TRUE(AppendNext(first_));
   clock_.Advance(seconds(3));
@@ -104,7 +105,7 @@
   ASSERT_TRUE(AppendNext(first_)) << "the key is not given back";
   ReadAll();
   EXPECT_EQ(second_.Begin(2, key, clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
 }
 
 // A claim is given back, and only then a doubled copy of its record arrives
@@ -123,7 +124,7 @@
   log_.Append(kStream, claim->dump(), clock_.Now());
   ReadAll();
   EXPECT_EQ(second_.Begin(2, key, clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
 }
 
 // A collection was confirmed an hour ago. Its claim has expired from the log
@@ -143,7 +144,7 @@
   ClaimGuard replacement({"entry-3", 9}, ClaimSettings{});
   Read(replacement);
   EXPECT_EQ(replacement.Begin(1, key, clock_.Now()),
-            ClaimGuard::Standing::kKeyTooOld);
+            ClaimGuard::BeginResult::kKeyTooOld);
 }
 
 // The log kept less than the window of keys. A new host cannot know whether
@@ -163,10 +164,10 @@
   ClaimGuard replacement({"entry-3", 9}, ClaimSettings{});
   Read(replacement);
   EXPECT_EQ(replacement.Begin(1, old_key, clock_.Now()),
-            ClaimGuard::Standing::kKeyTooOld);
+            ClaimGuard::BeginResult::kKeyTooOld);
   clock_.Advance(seconds(10));
   EXPECT_EQ(replacement.Begin(2, NewKey(), clock_.Now()),
-            ClaimGuard::Standing::kPending);
+            ClaimGuard::BeginResult::kPending);
 }
 
 // A host has its claim on the log and is paused before it reads it back. While
@@ -210,10 +211,10 @@
 
 TEST_F(ClaimGuardTest, KeysMustTellTheirTimeOfIssue) {
   EXPECT_EQ(first_.Begin(1, "door-7", clock_.Now()),
-            ClaimGuard::Standing::kKeyMalformed);
+            ClaimGuard::BeginResult::kKeyMalformed);
   const std::string ahead = MakeUuid7(clock_.Now() + minutes(5), random_);
   EXPECT_EQ(first_.Begin(1, ahead, clock_.Now()),
-            ClaimGuard::Standing::kKeyAhead);
+            ClaimGuard::BeginResult::kKeyInFuture);
 }
 
 }  // namespace
--- a/tests/drivers/http_test.cc
+++ b/tests/drivers/http_test.cc
@@ -114,7 +114,7 @@
   call.address = {"127.0.0.1", acceptor.local_endpoint().port()};
   call.request.method = "POST";
   call.request.target = "/order";
-  call.whole_timeout = std::chrono::milliseconds(50);
+  call.total_timeout = std::chrono::milliseconds(50);
   const HttpResult result = FetchBlocking(call);
   EXPECT_EQ(result.state, SendState::kMayBeSent);
   boost::system::error_code error;
@@ -132,7 +132,7 @@
                                    {asio::ip::make_address("127.0.0.1"), 0});
   HttpCall call;
   call.address = {"127.0.0.1", acceptor.local_endpoint().port()};
-  call.whole_timeout = Duration{0};
+  call.total_timeout = Duration{0};
   EXPECT_EQ(FetchBlocking(call).state, SendState::kNotSent);
 }
 
--- a/tests/main/daemon_test.cc
+++ b/tests/main/daemon_test.cc
@@ -70,7 +70,7 @@
     DaemonSettings settings;
     settings.node.self = {name, 1};
     settings.node.data_centre = "hall";
-    settings.node.drain_bound = std::chrono::seconds(20);
+    settings.node.max_drain = std::chrono::seconds(20);
     settings.node.seed = StableHash(name);
     settings.callers = settings.operators = settings.peers = {"127.0.0.1", 0};
     settings.platform.log = *ParseAddress(platform_);
--- a/tests/main/request_story_test.cc
+++ b/tests/main/request_timeline_test.cc
@@ -1,4 +1,4 @@
-#include "main/request_story.h"
+#include "main/request_timeline.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/node/chaos_test.cc
+++ b/tests/node/chaos_test.cc
@@ -24,12 +24,12 @@
     case 0:
       if (deployment.IsAlive(host)) {
         deployment.KillHost(host);
-        deployment.ListGone(host);
+        deployment.RemoveFromHostList(host);
       }
       return;
     case 1:
     case 2:
-      if (!deployment.IsAlive(host)) deployment.ReviveHost(host);
+      if (!deployment.IsAlive(host)) deployment.RestartHost(host);
       return;
     case 3:
       deployment.PauseHost(host);
@@ -39,24 +39,24 @@
       deployment.ResumeHost(host);
       return;
     case 6:
-      deployment.SetLogDown(random.Below(2) == 0);
+      deployment.SetLogUnavailable(random.Below(2) == 0);
       return;
     case 7:
-      deployment.SetLogSlow(milliseconds(random.Below(400)));
+      deployment.SetLogDelay(milliseconds(random.Below(400)));
       return;
     case 8:
-      deployment.LoseAppendAnswers(static_cast<int>(random.Below(4)));
+      deployment.LoseAppendResponses(static_cast<int>(random.Below(4)));
       return;
     case 9:
       deployment.SetOrderFaults(0.3 * random.Unit(), 0.3 * random.Unit(),
                                 milliseconds(random.Below(2500)));
       return;
     case 10:
-      deployment.CutDataCentre(random.Below(2) == 0 ? "north" : "south",
-                               random.Below(3) == 0);
+      deployment.PartitionDataCentre(random.Below(2) == 0 ? "north" : "south",
+                                     random.Below(3) == 0);
       return;
     case 11:
-      deployment.FailEngine(engine, random.Below(3) == 0);
+      deployment.SetEngineFailing(engine, random.Below(3) == 0);
       return;
     case 12:
       if (random.Below(4) == 0) deployment.RestartEngine(engine);
@@ -68,20 +68,20 @@
 }
 
 void MendAll(Deployment& deployment) {
-  deployment.SetLogDown(false);
-  deployment.SetLogSlow(Duration{0});
-  deployment.LoseAppendAnswers(0);
+  deployment.SetLogUnavailable(false);
+  deployment.SetLogDelay(Duration{0});
+  deployment.LoseAppendResponses(0);
   deployment.SetOrderFaults(0, 0, Duration{0});
   deployment.SetPeerLoss(0);
   for (const char* centre : {"north", "south"}) {
-    deployment.CutDataCentre(centre, false);
+    deployment.PartitionDataCentre(centre, false);
   }
   for (const auto& [name, engine] : deployment.engines()) {
-    deployment.FailEngine(name, false);
+    deployment.SetEngineFailing(name, false);
   }
   for (const std::string& host : deployment.HostNames()) {
     deployment.ResumeHost(host);
-    if (!deployment.IsAlive(host)) deployment.ReviveHost(host);
+    if (!deployment.IsAlive(host)) deployment.RestartHost(host);
   }
 }
 
@@ -135,11 +135,11 @@
   }
   MendAll(deployment);
   deployment.RunFor(seconds(100));
-  for (const std::string& broken : deployment.broken_promises()) {
+  for (const std::string& broken : deployment.violations()) {
     return broken;
   }
   for (const auto& [id, outcome] : deployment.outcomes()) {
-    if (outcome.answers != 1) return "a request has not one answer";
+    if (outcome.answer_count != 1) return "a request has not one answer";
   }
   // With everything mended, everything is served again, by one rule set.
   const LogOffset version =
--- a/tests/node/differential_test.cc
+++ b/tests/node/differential_test.cc
@@ -298,7 +298,7 @@
     // Where the engine obeys anybody, the former owner stops first and its
     // orders have arrived (the release, or the confirmed departure).
     if (checks_fence) return;
-    for (const OnWire& item : wire) engine.TakeOrder(item.order, now);
+    for (const OnWire& item : wire) engine.HandleOrder(item.order, now);
     wire.clear();
     now += horizon;
   };
@@ -351,7 +351,7 @@
         if (fate == 1) break;  // Lost. Fate 0 leaves a double on the wire.
         // No order is on its way for longer than the horizon.
         if (now - item.sent_at >= horizon) break;
-        const Inventory inventory = engine.TakeOrder(item.order, now);
+        const Inventory inventory = engine.HandleOrder(item.order, now);
         answers.push_back({inventory, item.owner, item.sent_at});
         break;
       }
--- a/tests/node/early_request_test.cc
+++ b/tests/node/early_request_test.cc
@@ -8,9 +8,9 @@
 class EarlyRequestTest : public FleetTest {
  protected:
   std::vector<RefuseRequest> Refused() const {
-    return Done<RefuseRequest>("a");
+    return ActionsOf<RefuseRequest>("a");
   }
-  size_t Sent() const { return Done<DispatchRequest>("a").size(); }
+  size_t Sent() const { return ActionsOf<DispatchRequest>("a").size(); }
 };
 
 // All hosts of a data centre are killed and back half a second later, with all
@@ -23,7 +23,7 @@
   Run(milliseconds(300));
   EXPECT_TRUE(Refused().empty());
   EXPECT_EQ(Sent(), 0u);
-  Teach("a");
+  LoadConfiguration("a");
   Run(milliseconds(50));
   EXPECT_TRUE(Refused().empty());
   EXPECT_EQ(Sent(), 2u);
@@ -36,10 +36,11 @@
   Run(milliseconds(25));
   Arrive("a", 1, "/once/x");
   Run(milliseconds(400));
-  Teach("a");
+  LoadConfiguration("a");
   Run(milliseconds(50));
   ASSERT_EQ(Sent(), 1u);
-  EXPECT_EQ(Done<DispatchRequest>("a")[0].deadline, arrived_at + seconds(1));
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a")[0].deadline,
+            arrived_at + seconds(1));
 }
 
 // The store is away while hosts restart: nobody will learn any rules, and
@@ -48,7 +49,7 @@
   Start("a");
   Arrive("a", 1, "/once/x");
   EXPECT_TRUE(Refused().empty());
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(milliseconds(50));
   ASSERT_EQ(Refused().size(), 1u);
   EXPECT_EQ(Refused()[0].refusal.reason, RefusalReason::kNoRuleSet);
@@ -69,8 +70,8 @@
 TEST_F(EarlyRequestTest, CallerThatLeavesIsForgotten) {
   Start("a");
   Arrive("a", 1, "/once/x");
-  Handle("a", CallerGone{1});
-  Teach("a");
+  Handle("a", CallerDisconnected{1});
+  LoadConfiguration("a");
   Run(milliseconds(100));
   EXPECT_EQ(Sent(), 0u);
   EXPECT_TRUE(Refused().empty());
--- a/tests/node/fleet_fixture.h
+++ b/tests/node/fleet_fixture.h
@@ -57,7 +57,7 @@
 
   void Add(const std::string& name, const std::string& centre = "hall") {
     Start(name, centre);
-    Teach(name);
+    LoadConfiguration(name);
   }
 
   // A process that has read nothing yet.
@@ -68,8 +68,8 @@
     settings.placement = PlacementStyle::kFleet;
     settings.peer_address = name;
     settings.serves_while_draining = true;
-    settings.drain_least = seconds(1);
-    settings.drain_bound = seconds(6);
+    settings.min_drain = seconds(1);
+    settings.max_drain = seconds(6);
     settings.log_down_after = seconds(5);
     settings.engines_check_fences = engines_check_fences_;
     settings.retry_slack = retry_slack_;
@@ -79,7 +79,7 @@
   }
 
   // It reads rules, models and servers.
-  void Teach(const std::string& name) {
+  void LoadConfiguration(const std::string& name) {
     Handle(name, RuleSetRead{1, *ParseJson(kRules)});
     CatalogueRead catalogue;
     for (const char* model : {"llm/m0", "llm/m1"}) {
@@ -91,7 +91,7 @@
     }
     catalogue.engine_classes["llm"] = {200'000'000'000, 8, 4.0};
     Handle(name, catalogue);
-    ServersListed listed;
+    ServerListRead listed;
     listed.is_whole = true;
     listed.listed = {Server("app-1", "app"), Server("app-2", "app"),
                      Server("llm-1", "llm", "llm/m0"),
@@ -114,7 +114,7 @@
 
   void Perform(const std::string& name, Action action) {
     Host& host = hosts_.at(name);
-    if (const auto* follow = std::get_if<FollowStore>(&action)) {
+    if (const auto* follow = std::get_if<SetStorePolling>(&action)) {
       host.is_reading = follow->is_reading;
     }
     if (const auto* read = std::get_if<ReadLease>(&action)) {
@@ -165,7 +165,8 @@
       is_shared_ = false;
     } else if (const auto* order = std::get_if<SendOrder>(&action);
                order != nullptr && order->order.kind == OrderKind::kInspect) {
-      pending_.push_back({name, EngineAnswered{ReportOf(order->engine), now_}});
+      pending_.push_back(
+          {name, InventoryReceived{ReportOf(order->engine), now_}});
     } else {
       if (const auto* load = std::get_if<SendOrder>(&action)) {
         pending_.push_back({name, OrderAnswered{load->engine, load->order.id,
@@ -195,7 +196,7 @@
       for (const auto& [name, event] : due) Handle(name, event);
       for (const auto& [name, host] : hosts_) {
         if (host.is_reading && !host.is_cut_from_store) {
-          Handle(name, StoreNewsRead{.topic = "config", .as_of = now_});
+          Handle(name, StoreUpdatesRead{.topic = "config", .as_of = now_});
         }
         Handle(name, Tick{});
       }
@@ -216,7 +217,7 @@
   }
 
   template <typename T>
-  std::vector<T> Done(const std::string& name) const {
+  std::vector<T> ActionsOf(const std::string& name) const {
     std::vector<T> found;
     for (const Action& action : hosts_.at(name).done) {
       if (const T* one = std::get_if<T>(&action)) found.push_back(*one);
--- a/tests/node/fleet_scale_test.cc
+++ b/tests/node/fleet_scale_test.cc
@@ -29,7 +29,7 @@
                     const std::vector<std::string>& models) {
     models_at_[engine] = models;
     accepted_orders_ += 100;  // So the report counts all that was ordered.
-    Handle(owner, EngineAnswered{ReportOf(engine), now_});
+    Handle(owner, InventoryReceived{ReportOf(engine), now_});
   }
 
   std::set<std::string> ReadyAt(const std::string& host,
--- a/tests/node/fleet_test.cc
+++ b/tests/node/fleet_test.cc
@@ -36,9 +36,9 @@
   // The catalogue name is SERVICE/MODEL; the caller names the model alone.
   Arrive(second, 2, "/rare/x", "m1");
   Run(seconds(2));
-  EXPECT_TRUE(Done<SendOrder>(second).empty()) << "too early";
+  EXPECT_TRUE(ActionsOf<SendOrder>(second).empty()) << "too early";
   Run(seconds(2));
-  EXPECT_FALSE(Done<SendOrder>(second).empty());
+  EXPECT_FALSE(ActionsOf<SendOrder>(second).empty());
   EXPECT_GE(now_ - taken, seconds(3));
 }
 
@@ -75,7 +75,7 @@
   Run(seconds(2));
   Arrive(holder, 1, "/rare/x", "m1");
   Run(milliseconds(300));
-  const std::vector<SendOrder> orders = Done<SendOrder>(holder);
+  const std::vector<SendOrder> orders = ActionsOf<SendOrder>(holder);
   ASSERT_FALSE(orders.empty());
   ASSERT_TRUE(orders.back().order.arrive_by.has_value());
   EXPECT_LE(*orders.back().order.arrive_by, proven + milliseconds(2500));
@@ -83,7 +83,7 @@
   hosts_.at(holder).done.clear();
   Arrive(holder, 2, "/rare/x", "m1");
   Run(seconds(1));
-  EXPECT_TRUE(Done<SendOrder>(holder).empty());
+  EXPECT_TRUE(ActionsOf<SendOrder>(holder).empty());
 }
 
 // The owner alone is cut off from the store. Engines that check no tokens get
@@ -140,11 +140,11 @@
   hosts_.at("b").is_down = true;
   pending_.clear();
   Handle("a", StoreReached{});
-  Handle("a", StoreNewsRead{.topic = "servers",
-                            .from = 0,
-                            .next = 1,
-                            .records = "records",
-                            .as_of = now_ - seconds(2)});
+  Handle("a", StoreUpdatesRead{.topic = "servers",
+                               .from = 0,
+                               .next = 1,
+                               .records = "records",
+                               .as_of = now_ - seconds(2)});
   ASSERT_EQ(pending_.size(), 1u);
   const auto& told = std::get<PeerMessageReceived>(pending_[0].second);
   ASSERT_EQ(told.message.type, PeerMessageType::kStoreUpdates);
@@ -205,7 +205,7 @@
   const std::vector<std::string> first = Holders();
   for (auto& [name, host] : hosts_) {
     host.is_cut_from_store = true;
-    Handle(name, LogFailed{});
+    Handle(name, LogUnavailable{});
   }
   Run(seconds(4));
   for (auto& [name, host] : hosts_) host.is_cut_from_store = false;
@@ -227,9 +227,9 @@
   hosts_.at(first).done.clear();
   Arrive(first, 1, "/rare/x", "m1");
   Handle(first, Tick{});
-  EXPECT_TRUE(Done<SendOrder>(first).empty());
+  EXPECT_TRUE(ActionsOf<SendOrder>(first).empty());
   Run(seconds(1));
-  EXPECT_TRUE(Done<SendOrder>(first).empty());
+  EXPECT_TRUE(ActionsOf<SendOrder>(first).empty());
   ASSERT_EQ(Holders().size(), 1u);
   EXPECT_NE(Holders()[0], first);
 }
@@ -241,17 +241,17 @@
   for (const char* name : {"d", "e", "f"}) Add(name, "quay");
   const auto read_all = [&] {
     for (const auto& [name, host] : hosts_) {
-      if (!host.node->relay().reads_itself()) continue;
+      if (!host.node->relay().is_reading_store()) continue;
       Handle(name, StoreReached{});
       Handle(name,
-             StoreNewsRead{
+             StoreUpdatesRead{
                  .topic = "servers", .from = 5, .next = 5, .as_of = now_});
     }
   };
   const auto readers = [&] {
     std::vector<std::string> names;
     for (const auto& [name, host] : hosts_) {
-      if (!host.is_down && host.node->relay().reads_itself()) {
+      if (!host.is_down && host.node->relay().is_reading_store()) {
         names.push_back(name);
       }
     }
@@ -271,7 +271,7 @@
   const std::string cut = other_reader();
   for (int i = 0; i < 20; ++i) {
     read_all();
-    Handle(cut, LogFailed{});
+    Handle(cut, LogUnavailable{});
     Run(milliseconds(200));
   }
   ASSERT_EQ(readers().size(), 2u);
@@ -343,9 +343,10 @@
          PeerMessageReceived{owner, {PeerMessageType::kFleetPlan, plan}});
   Arrive(other, 1, "/rare/x", "m0");
   Run(milliseconds(100));
-  EXPECT_TRUE(Done<DispatchRequest>(other).empty()) << "its engines are full";
+  EXPECT_TRUE(ActionsOf<DispatchRequest>(other).empty())
+      << "its engines are full";
   Run(seconds(4));
-  EXPECT_FALSE(Done<DispatchRequest>(other).empty());
+  EXPECT_FALSE(ActionsOf<DispatchRequest>(other).empty());
 }
 
 // An engine dies amid a stream while all others run as much as they can. The
@@ -358,7 +359,7 @@
   const std::string other = owner == "a" ? "b" : "a";
   hosts_.at(other).is_cut_from_hosts = true;
   Arrive(other, 1, "/stream/x", "m0");
-  const DispatchRequest first = Done<DispatchRequest>(other)[0];
+  const DispatchRequest first = ActionsOf<DispatchRequest>(other)[0];
   Handle(other, AttemptStarted{1});
   const Json loads = *ParseJson(R"([["llm-1", 99, 50], ["llm-2", 99, 50]])");
   Handle(other,
@@ -375,7 +376,7 @@
   Handle(other, broken);
   Arrive(other, 2, "/rare/x", "m0");
   Run(milliseconds(200));
-  const std::vector<DispatchRequest> sent = Done<DispatchRequest>(other);
+  const std::vector<DispatchRequest> sent = ActionsOf<DispatchRequest>(other);
   ASSERT_EQ(sent.size(), 1u) << "the stream, and not the new request";
   EXPECT_EQ(sent[0].handle, 1u);
   EXPECT_TRUE(sent[0].resume);
@@ -409,7 +410,7 @@
   for (int i = 0; i < 20; ++i) {
     Run(milliseconds(250));
     for (auto& [name, host] : hosts_) {
-      if (name != holder) Handle(name, LogFailed{});
+      if (name != holder) Handle(name, LogUnavailable{});
     }
   }
   for (auto& [name, host] : hosts_) {
@@ -429,20 +430,20 @@
 TEST_F(FleetTest, ServersThatLapseWithTheStoreStayForAWhile) {
   Add("a");
   Run(seconds(2));
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(seconds(1));
-  ServersListed lapsed;
+  ServerListRead lapsed;
   lapsed.gone = {"app-1", "app-2"};
   Handle("a", lapsed);
   Arrive("a", 1, "/once/x");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
   Handle("a", StoreReached{});
   Run(seconds(3));  // Not listed again: gone.
   hosts_.at("a").done.clear();
   Arrive("a", 2, "/once/x");
-  EXPECT_TRUE(Done<DispatchRequest>("a").empty());
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
+  EXPECT_TRUE(ActionsOf<DispatchRequest>("a").empty());
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
 }
 
 // A server leaves two seconds after the store came back. Taken for one that
@@ -451,16 +452,16 @@
 TEST_F(FleetTest, ServerThatLeavesSoonAfterAnOutageIsLeftInTime) {
   Add("a");
   Run(seconds(2));
-  Handle("a", LogFailed{});
+  Handle("a", LogUnavailable{});
   Run(seconds(3));
   Handle("a", StoreReached{});
   Run(milliseconds(1900));
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"app-1", "app-2"};
   Handle("a", gone);
   Run(milliseconds(400));
   Arrive("a", 1, "/once/x");
-  EXPECT_TRUE(Done<DispatchRequest>("a").empty());
+  EXPECT_TRUE(ActionsOf<DispatchRequest>("a").empty());
 }
 
 // Away from an outage, a server that is not listed gets nothing more at once.
@@ -468,14 +469,14 @@
   Add("a");
   Run(seconds(2));
   Handle("a", StoreReached{});
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"app-1"};
   ListedServer leaving = Server("app-2", "app");
   leaving.is_leaving = true;
   gone.listed = {leaving};
   Handle("a", gone);
   Arrive("a", 1, "/once/x");
-  EXPECT_TRUE(Done<DispatchRequest>("a").empty());
+  EXPECT_TRUE(ActionsOf<DispatchRequest>("a").empty());
 }
 
 // An engine crashes and starts again under its id, empty. Requests went on to
@@ -484,7 +485,7 @@
 TEST_F(FleetTest, ServerThatStartsAgainHoldsNothingOfBefore) {
   Add("a");
   const auto list = [&](TimePoint started_at, const std::string& model) {
-    ServersListed listed;
+    ServerListRead listed;
     ListedServer engine = Server("llm-1", "llm", "llm/m0");
     if (model.empty()) engine.models.clear();
     engine.started_at = started_at;
@@ -494,15 +495,15 @@
   };
   list(now_, "m0");
   Arrive("a", 1, "/rare/x", "m0");
-  ASSERT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  ASSERT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
   list(now_ + seconds(1), "");
   const Json engine = hosts_.at("a").node->StateDump()["engines"]["llm-1"];
   EXPECT_EQ(engine["in_flight_here"], 0);
   Arrive("a", 2, "/rare/x", "m0");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
   // Older news arrive later.
   list(now_, "m0");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
 }
 
 // A writer of another version, or a fault, overwrites a server's entry with one
@@ -510,13 +511,13 @@
 // the others must not be touched by it.
 TEST_F(FleetTest, ServerWithAnUnusableEntryGetsNothing) {
   Add("a");
-  ServersListed damaged;
+  ServerListRead damaged;
   damaged.unusable = {"app-1", "never-seen"};
   Handle("a", damaged);
   for (RequestHandle handle = 1; handle <= 8; ++handle) {
     Arrive("a", handle, "/once/x");
   }
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_FALSE(sent.empty());
   for (const DispatchRequest& request : sent) {
     EXPECT_EQ(request.backend, "app-2");
@@ -529,17 +530,18 @@
   Add("a");
   Run(seconds(2));
   Arrive("a", 1, "/once/x");
-  ASSERT_EQ(Done<DispatchRequest>("a").size(), 1u);
-  EXPECT_FALSE(Done<DispatchRequest>("a")[0].is_repeatable);
+  ASSERT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
+  EXPECT_FALSE(ActionsOf<DispatchRequest>("a")[0].is_repeatable);
   AttemptEnded broken;
   broken.handle = 1;
   broken.attempt = 1;
   broken.result = AttemptResult::kBroken;
   Handle("a", broken);
   Run(seconds(1));
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.verdict, Verdict::kMayHaveRun);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.verdict,
+            Verdict::kMayHaveRun);
 }
 
 TEST_F(FleetTest, RepeatableRequestGoesToAnotherServerOnce) {
@@ -552,7 +554,7 @@
   broken.result = AttemptResult::kBroken;
   Handle("a", broken);
   Run(milliseconds(300));
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_NE(sent[0].backend, sent[1].backend);
   EXPECT_TRUE(sent[0].has_retries);
@@ -569,7 +571,7 @@
   int failures = 0;
   for (RequestHandle handle = 1; handle <= 8; ++handle) {
     Arrive("a", handle, "/once/x");
-    if (Done<DispatchRequest>("a").back().backend != "app-1") continue;
+    if (ActionsOf<DispatchRequest>("a").back().backend != "app-1") continue;
     AttemptEnded refused;
     refused.handle = handle;
     refused.attempt = 1;
@@ -579,7 +581,7 @@
   }
   ASSERT_GE(failures, 2);
   Run(milliseconds(500));
-  EXPECT_TRUE(Done<RefuseRequest>("a").empty());
+  EXPECT_TRUE(ActionsOf<RefuseRequest>("a").empty());
 }
 
 // A request arrives as its model is being unloaded and is turned away. Loaded
@@ -588,7 +590,7 @@
 TEST_F(FleetTest, RequestReturnsToTheEngineThatTurnedItAway) {
   Add("a");
   Run(seconds(2));
-  ServersListed gone;
+  ServerListRead gone;
   gone.gone = {"llm-2"};
   Handle("a", StoreReached{});
   Handle("a", gone);
@@ -599,7 +601,7 @@
   full.result = AttemptResult::kFull;
   Handle("a", full);
   Run(milliseconds(500));
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_EQ(sent[1].backend, "llm-1");
 }
@@ -615,11 +617,11 @@
   Handle("a", RuleSetRead{9, rules});
   Arrive("a", 1, "/rare/x", "m1");
   const TimePoint asked = now_;
-  while (Done<RefuseRequest>("a").empty()) {
+  while (ActionsOf<RefuseRequest>("a").empty()) {
     Run(milliseconds(25));
     ASSERT_LT(now_ - asked, seconds(2));
   }
-  const Refusal refusal = Done<RefuseRequest>("a")[0].refusal;
+  const Refusal refusal = ActionsOf<RefuseRequest>("a")[0].refusal;
   EXPECT_EQ(refusal.verdict, Verdict::kNotRun);
   EXPECT_GE(refusal.retry_after, seconds(1));
 }
@@ -686,7 +688,7 @@
     for (const RequestHandle handle : leaving) {
       ++left_;
       Stop(handle);
-      Handle(arrived_[handle].first, CallerGone{handle});
+      Handle(arrived_[handle].first, CallerDisconnected{handle});
       arrived_.erase(handle);
     }
   }
@@ -773,7 +775,7 @@
   broken.can_resume = true;
   Handle("a", broken);
   Run(milliseconds(300));
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_NE(sent[0].backend, sent[1].backend);
   EXPECT_TRUE(sent[1].resume);
@@ -787,10 +789,10 @@
   Arrive("a", 1, "/rare/x", "m1");
   Handle("a", DrainRequested{});
   Run(seconds(7));
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
-  EXPECT_GT(Done<RefuseRequest>("a")[0].refusal.retry_after, Duration{0});
-  EXPECT_EQ(Done<Drained>("a").size(), 1u);
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.verdict, Verdict::kNotRun);
+  EXPECT_GT(ActionsOf<RefuseRequest>("a")[0].refusal.retry_after, Duration{0});
+  EXPECT_EQ(ActionsOf<Drained>("a").size(), 1u);
 }
 
 // The lease of a host that is stopped in order passes on without the wait for
@@ -818,8 +820,8 @@
   Handle("a", RuleSetRead{5, newer});
   Handle("a", RuleSetRead{3, *ParseJson(kRules)});
   Arrive("a", 1, "/once/x");
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.reason,
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.reason,
             RefusalReason::kRefusedByRule);
 }
 
@@ -829,25 +831,25 @@
   Add("a");
   Run(seconds(1));
   Arrive("a", 1, "/unknown");
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 1u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[0].refusal.reason,
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[0].refusal.reason,
             RefusalReason::kRefusedByRule);
   hosts_.at("a").is_cut_from_store = true;
-  Run(NewsBudget::Within(seconds(2)).most_age() + milliseconds(25));
+  Run(FreshnessBudget::Within(seconds(2)).max_age() + milliseconds(25));
   Arrive("a", 2, "/unknown");
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 2u);
-  const Refusal refusal = Done<RefuseRequest>("a")[1].refusal;
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 2u);
+  const Refusal refusal = ActionsOf<RefuseRequest>("a")[1].refusal;
   EXPECT_EQ(refusal.reason, RefusalReason::kRulesMayBeOld);
   EXPECT_EQ(refusal.verdict, Verdict::kNotRun);
   EXPECT_GT(refusal.retry_after, Duration{0});
   // What it knows for sure it serves.
   Arrive("a", 3, "/once/x");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
   hosts_.at("a").is_cut_from_store = false;
   Run(milliseconds(100));
   Arrive("a", 4, "/unknown");
-  ASSERT_EQ(Done<RefuseRequest>("a").size(), 3u);
-  EXPECT_EQ(Done<RefuseRequest>("a")[2].refusal.reason,
+  ASSERT_EQ(ActionsOf<RefuseRequest>("a").size(), 3u);
+  EXPECT_EQ(ActionsOf<RefuseRequest>("a")[2].refusal.reason,
             RefusalReason::kRefusedByRule);
 }
 
@@ -856,7 +858,7 @@
   Run(seconds(1));
   Handle("a", RuleSetRead{5, Json{{"rules", 3}}});
   Arrive("a", 1, "/once/x");
-  EXPECT_EQ(Done<DispatchRequest>("a").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("a").size(), 1u);
 }
 
 }  // namespace
--- a/tests/node/news_budget_test.cc
+++ b/tests/node/freshness_budget_test.cc
@@ -1,7 +1,7 @@
-#include "node/news_budget.h"
-
 #include <gtest/gtest.h>
 
+#include "node/freshness_budget.h"
+
 namespace applehall {
 namespace {
 
@@ -12,18 +12,21 @@
 TEST(NewsBudgetTest, TermsAddUpToTheBoundOfAnyDeployment) {
   for (const int bound_ms : {1000, 1500, 2000, 2500, 3000, 4000, 10000}) {
     const Duration bound = milliseconds(bound_ms);
-    const NewsBudget budget = NewsBudget::Within(bound);
-    const Duration lost_reader =
-        budget.trust + budget.read_timeout + budget.retry_pause + budget.apply;
-    const Duration hung_read = budget.renewal + budget.read_timeout +
+    const FreshnessBudget budget = FreshnessBudget::Within(bound);
+    const Duration lost_reader = budget.max_staleness + budget.read_timeout +
+                                 budget.retry_pause + budget.apply;
+    const Duration hung_read = budget.renewal_interval + budget.read_timeout +
                                budget.retry_pause + budget.apply;
     EXPECT_LE(lost_reader, bound) << bound_ms;
     EXPECT_LE(hung_read, bound) << bound_ms;
-    EXPECT_LE(budget.renewal + budget.beat + budget.transit, budget.trust)
+    EXPECT_LE(budget.renewal_interval + budget.heartbeat_interval +
+                  budget.max_transit,
+              budget.max_staleness)
         << bound_ms;
     for (const Duration term :
-         {budget.renewal, budget.beat, budget.transit, budget.trust,
-          budget.read_timeout, budget.retry_pause, budget.apply}) {
+         {budget.renewal_interval, budget.heartbeat_interval,
+          budget.max_transit, budget.max_staleness, budget.read_timeout,
+          budget.retry_pause, budget.apply}) {
       EXPECT_GT(term, Duration{0}) << bound_ms;
     }
   }
--- a/tests/node/limit_fleet.h
+++ b/tests/node/limit_fleet.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "node/limit_keeper.h"
+#include "node/limit_manager.h"
 
 namespace applehall {
 
@@ -48,7 +48,7 @@
   }
 
   void SetDemand(double per_second) { demand_ = per_second; }
-  void SetPatience(Duration patience) { patience_ = patience; }
+  void SetPatience(Duration max_wait) { patience_ = max_wait; }
   // The server names it in all answers from now on; below zero: none.
   void SetLimit(double per_second) {
     limit_ = per_second;
@@ -132,7 +132,7 @@
 
   struct Host {
     std::unique_ptr<NodeContext> context;
-    std::unique_ptr<LimitKeeper> keeper;
+    std::unique_ptr<LimitManager> keeper;
     std::vector<Action> actions;
     uint64_t incarnation = 0;
     bool is_cut = false;
@@ -180,7 +180,7 @@
     host.context = std::make_unique<NodeContext>(settings);
     host.context->actions = &host.actions;
     host.context->now = now_;
-    host.keeper = std::make_unique<LimitKeeper>(*host.context);
+    host.keeper = std::make_unique<LimitManager>(*host.context);
     host.open.clear();
     host.heard_at = {};
     host.owner.reset();
@@ -206,7 +206,7 @@
     host.token = token_;
     last_news_ = 0;
     for (Host& other : hosts_) other.sent_news = 0;
-    host.context->fleet_hosts = static_cast<int>(size());
+    host.context->entry_host_count = static_cast<int>(size());
     host.keeper->StartPlanning(last_news_);
     for (size_t j = 0; j < size(); ++j) {
       if (j != i) hosts_[j].keeper->StopPlanning();
@@ -254,13 +254,13 @@
     const std::string from = absl::StrCat("h", message.from);
     switch (message.message.type) {
       case PeerMessageType::kPermitRequest:
-        host.keeper->TakeAsks(from, body);
+        host.keeper->HandlePermitRequests(from, body);
         break;
       case PeerMessageType::kPermitAnswer:
-        host.keeper->TakeAnswers(body);
+        host.keeper->HandlePermitAnswers(body);
         break;
       case PeerMessageType::kFleetReport:
-        host.keeper->NoteHost(from);
+        host.keeper->RecordHostContact(from);
         host.keeper->TakeReport(from, body["limits"], servers_);
         break;
       case PeerMessageType::kFleetPlan: {
@@ -269,7 +269,7 @@
         host.token = token;
         host.owner = message.from;
         host.heard_at = now_;
-        host.context->fleet_hosts = static_cast<int>(size());
+        host.context->entry_host_count = static_cast<int>(size());
         host.keeper->TakePlan(body["limits"], token, servers_);
         break;
       }
@@ -282,7 +282,7 @@
   // What follows each event of a host.
   void AfterEvent(size_t i) {
     Host& host = hosts_[i];
-    for (const LimitKeeper::Outcome& outcome : host.keeper->TakeOutcomes()) {
+    for (const LimitManager::Outcome& outcome : host.keeper->TakeOutcomes()) {
       const bool is_open = host.open.erase(outcome.handle) > 0;
       if (outcome.is_granted && is_open) {
         Arrive(i);
@@ -357,18 +357,18 @@
     }
     if (host.held_until > now_) return;
     const RequestHandle handle = ++host.last_handle;
-    LimitKeeper::PermitRequest wanted;
+    LimitManager::PermitRequest wanted;
     wanted.handle = handle;
     wanted.caller = "c";
-    wanted.patience = patience_;
+    wanted.max_wait = patience_;
     switch (host.keeper->Acquire(kServer, wanted)) {
-      case LimitKeeper::Permit::kGranted:
+      case LimitManager::Permit::kGranted:
         Arrive(i);
         break;
-      case LimitKeeper::Permit::kPending:
+      case LimitManager::Permit::kPending:
         host.open[handle] = now_ + patience_ + seconds(1);
         break;
-      case LimitKeeper::Permit::kDenied:
+      case LimitManager::Permit::kDenied:
         host.held_until = now_ + milliseconds(100);
         break;
     }
@@ -398,7 +398,7 @@
         continue;
       }
       host.context->now = now_;
-      host.keeper->TakeReported(kServer, answer.word, answer.sent_at);
+      host.keeper->ApplyReported(kServer, answer.word, answer.sent_at);
       const bool is_named = answer.word.kind == ReportedLimit::Kind::kNamed;
       if (is_named && !host.told_at) host.told_at = now_;
       AfterEvent(answer.host);
--- a/tests/node/limit_keeper_test.cc
+++ b/tests/node/limit_manager_test.cc
@@ -1,10 +1,9 @@
 // Servers that limit themselves are kept within their limits by all hosts
 // together, and their limits are used.
 
-#include "node/limit_keeper.h"
-
 #include <iostream>
 
+#include "node/limit_manager.h"
 #include "tests/node/limit_fleet.h"
 
 namespace applehall {
--- a/tests/node/limit_book_test.cc
+++ b/tests/node/limit_registry_test.cc
@@ -1,8 +1,7 @@
-#include "node/limit_book.h"
-
 #include <gtest/gtest.h>
 
 #include "core/random.h"
+#include "node/limit_registry.h"
 
 namespace applehall {
 namespace {
@@ -30,7 +29,7 @@
     servers_[kServer] = server;
   }
   // What `host` observed reaches the owner, and the owner's word all hosts.
-  void Exchange(LimitBook& host, LimitBook& other) {
+  void Exchange(LimitRegistry& host, LimitRegistry& other) {
     now_ += milliseconds(20);
     owner_.TakeReport(host.ReportRows(kToken, servers_, now_), servers_, now_);
     owner_.NumberRows(news_);
@@ -42,14 +41,14 @@
 
   TimePoint now_{std::chrono::hours(500000)};
   EngineList servers_;
-  LimitBook owner_;
-  LimitBook a_;
-  LimitBook b_;
+  LimitRegistry owner_;
+  LimitRegistry a_;
+  LimitRegistry b_;
   uint64_t news_ = 0;
 };
 
 TEST_F(LimitBookTest, LimitReachesAllHosts) {
-  EXPECT_TRUE(a_.TakeReported(kServer, Named(1.5), now_, now_));
+  EXPECT_TRUE(a_.ApplyReported(kServer, Named(1.5), now_, now_));
   EXPECT_TRUE(a_.HasNewRows());
   Exchange(a_, b_);
   EXPECT_EQ(b_.Find(kServer), 1.5);
@@ -61,24 +60,24 @@
 TEST_F(LimitBookTest, OlderAnswersNeitherRaiseNorLiftALimit) {
   const TimePoint before = now_;
   now_ += seconds(1);
-  a_.TakeReported(kServer, Named(1), now_, now_);
-  EXPECT_FALSE(a_.TakeReported(kServer, kNone, before, now_ + seconds(1)));
-  EXPECT_FALSE(a_.TakeReported(kServer, Named(9), before, now_ + seconds(1)));
+  a_.ApplyReported(kServer, Named(1), now_, now_);
+  EXPECT_FALSE(a_.ApplyReported(kServer, kNone, before, now_ + seconds(1)));
+  EXPECT_FALSE(a_.ApplyReported(kServer, Named(9), before, now_ + seconds(1)));
   EXPECT_EQ(a_.Find(kServer), 1);
-  EXPECT_TRUE(a_.TakeReported(kServer, Named(0.5), before, now_ + seconds(1)));
+  EXPECT_TRUE(a_.ApplyReported(kServer, Named(0.5), before, now_ + seconds(1)));
   const TimePoint after = now_ + seconds(2);
-  EXPECT_TRUE(a_.TakeReported(kServer, kNone, after, after));
+  EXPECT_TRUE(a_.ApplyReported(kServer, kNone, after, after));
   EXPECT_FALSE(a_.Find(kServer).has_value());
 }
 
 // Guards against a host that reports a limit as lifted which another host has
 // heard lowered meanwhile.
 TEST_F(LimitBookTest, OwnerTakesOnlyWordsOnItsNewestVersion) {
-  a_.TakeReported(kServer, Named(4), now_, now_);
+  a_.ApplyReported(kServer, Named(4), now_, now_);
   Exchange(a_, b_);
   now_ += seconds(1);
-  a_.TakeReported(kServer, kNone, now_, now_);
-  b_.TakeReported(kServer, Named(1), now_, now_);
+  a_.ApplyReported(kServer, kNone, now_, now_);
+  b_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(b_, b_);
   Exchange(a_, b_);
   EXPECT_EQ(owner_.Find(kServer), 1);
@@ -87,9 +86,9 @@
 }
 
 TEST_F(LimitBookTest, LiftedLimitIsLiftedEverywhere) {
-  a_.TakeReported(kServer, Named(4), now_, now_);
+  a_.ApplyReported(kServer, Named(4), now_, now_);
   Exchange(a_, b_);
-  b_.TakeReported(kServer, kNone, now_, now_);
+  b_.ApplyReported(kServer, kNone, now_, now_);
   Exchange(b_, a_);
   EXPECT_FALSE(owner_.Find(kServer).has_value());
   EXPECT_FALSE(a_.Find(kServer).has_value());
@@ -99,27 +98,27 @@
 // Guards against a server that starts again under its id and is held to what
 // its earlier life named, by a late answer or by a host that has not heard.
 TEST_F(LimitBookTest, LimitEndsWithTheLifeThatNamedIt) {
-  a_.TakeReported(kServer, Named(1), now_, now_);
+  a_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(a_, b_);
   const TimePoint sent_before = now_;
   now_ += seconds(1);
   List(now_);
-  for (LimitBook* book : {&owner_, &a_}) book->Forget(kServer, now_);
-  EXPECT_FALSE(a_.TakeReported(kServer, Named(1), sent_before, now_));
+  for (LimitRegistry* book : {&owner_, &a_}) book->Forget(kServer, now_);
+  EXPECT_FALSE(a_.ApplyReported(kServer, Named(1), sent_before, now_));
   EXPECT_FALSE(a_.Find(kServer).has_value());
   EngineList earlier = servers_;
   earlier[kServer].started_at = sent_before;
-  b_.TakeReported(kServer, Named(0.5), now_, now_);
+  b_.ApplyReported(kServer, Named(0.5), now_, now_);
   owner_.TakeReport(b_.ReportRows(kToken, earlier, now_), servers_, now_);
   EXPECT_FALSE(owner_.Find(kServer).has_value());
 }
 
 TEST_F(LimitBookTest, LimitThatNobodyNamesAnyMoreEnds) {
-  a_.TakeReported(kServer, Named(1), now_, now_);
+  a_.ApplyReported(kServer, Named(1), now_, now_);
   Exchange(a_, b_);
   for (int i = 0; i < 3; ++i) {
     now_ += seconds(25);
-    a_.TakeReported(kServer, Named(1), now_, now_);
+    a_.ApplyReported(kServer, Named(1), now_, now_);
     Exchange(a_, b_);
     owner_.Expire(now_);
   }
@@ -133,16 +132,16 @@
 
 // A new owner knows nothing; what all hosts know reaches it with their reports.
 TEST_F(LimitBookTest, NewOwnerLearnsFromTheHosts) {
-  a_.TakeReported(kServer, Named(2), now_, now_);
+  a_.ApplyReported(kServer, Named(2), now_, now_);
   Exchange(a_, b_);
-  LimitBook next;
+  LimitRegistry next;
   next.TakeReport(a_.ReportRows(kToken + 1, servers_, now_), servers_, now_);
   EXPECT_EQ(next.Find(kServer), 2);
 }
 
 // Guards against rows of another version of the program, or of none.
 TEST_F(LimitBookTest, MalformedRowsAreLeftOut) {
-  a_.TakeReported(kServer, Named(2), now_, now_);
+  a_.ApplyReported(kServer, Named(2), now_, now_);
   const Json good = a_.ReportRows(kToken, servers_, now_);
   Random random(20261203);
   const std::string text = good.dump();
@@ -153,7 +152,7 @@
           static_cast<char>(32 + random.Below(95));
     }
     const Json rows = Json::parse(mutated, nullptr, /*allow_exceptions=*/false);
-    LimitBook book;
+    LimitRegistry book;
     book.TakeReport(rows, servers_, now_);
     book.TakePlan(rows, kToken, servers_, now_);
     for (const auto& [server, per_second] : book.Limits()) {
@@ -163,7 +162,7 @@
   for (const char* rows :
        {"null", "3", "{}", R"([["i-1"]])", R"([["i-1",0,"x",0,0]])",
         R"([["i-1",0,1,0,-1]])", R"([["i-1",0,1,-5,0,9]])"}) {
-    LimitBook book;
+    LimitRegistry book;
     book.TakeReport(*ParseJson(rows), servers_, now_);
     book.TakePlan(*ParseJson(rows), kToken, servers_, now_);
     EXPECT_TRUE(book.Limits().empty()) << rows;
--- a/tests/node/node_failure_test.cc
+++ b/tests/node/node_failure_test.cc
@@ -62,13 +62,13 @@
   }
 
   bool IsAnswered(uint64_t id) {
-    return deployment_->outcome(id).answers == 1 &&
+    return deployment_->outcome(id).answer_count == 1 &&
            deployment_->outcome(id).is_answered;
   }
 
   std::string Reason(uint64_t id) {
     const RequestOutcome& outcome = deployment_->outcome(id);
-    if (outcome.answers == 0) return "no outcome";
+    if (outcome.answer_count == 0) return "no outcome";
     if (outcome.is_answered) return "answered";
     return std::string(RefusalReasonName(outcome.refusal.reason)) + ": " +
            outcome.refusal.detail;
@@ -78,7 +78,7 @@
     int count = 0;
     for (const auto& [name, engine] : deployment_->engines()) {
       if (engine->settings().data_centre != data_centre) continue;
-      for (const std::string& resident : engine->Resident()) {
+      for (const std::string& resident : engine->ResidentTargets()) {
         count += resident == model;
       }
     }
@@ -89,8 +89,8 @@
 
   void TearDown() override {
     if (!deployment_) return;
-    EXPECT_TRUE(deployment_->broken_promises().empty())
-        << *deployment_->broken_promises().begin();
+    EXPECT_TRUE(deployment_->violations().empty())
+        << *deployment_->violations().begin();
   }
 
   Random random_{5};
@@ -110,7 +110,7 @@
   }
   deployment_->RunFor(seconds(20));
   for (const uint64_t id : requests) EXPECT_TRUE(IsAnswered(id)) << Reason(id);
-  EXPECT_EQ(deployment_->loads_decided(), 2u) << "one for each data centre";
+  EXPECT_EQ(deployment_->total_loads(), 2u) << "one for each data centre";
 }
 
 // An adapter is asked for while neither it nor its base model is loaded.
@@ -125,7 +125,7 @@
 // The engines are full to the last byte with models that nobody calls now. A
 // request for another model waited until its deadline, because an engine with
 // nothing free at all was never emptied.
-TEST_F(NodeFailureTest, FullEnginesMakeRoom) {
+TEST_F(NodeFailureTest, FullEnginesEvictIdleModels) {
   DeploymentSettings settings = Defaults();
   settings.engines = 2;
   settings.engine_bytes = 1'400'000'000;  // Two models and the KV cache.
@@ -165,11 +165,11 @@
   deployment_->RunUntil([&] { return EnginesWith("model-4", "north") == 1; },
                         seconds(5));
   deployment_->KillHost(owner);
-  deployment_->ListGone(owner);
+  deployment_->RemoveFromHostList(owner);
   deployment_->RunFor(seconds(25));
   EXPECT_EQ(OwnerOf("north/0"), other);
   EXPECT_TRUE(IsAnswered(id)) << Reason(id);
-  EXPECT_EQ(deployment_->loads_decided(), 1u);
+  EXPECT_EQ(deployment_->total_loads(), 1u);
 }
 
 // The owner stops for half a minute, as a machine under a snapshot does, and
@@ -197,7 +197,7 @@
   deployment_->ResumeHost(owner);
   deployment_->RunFor(seconds(30));
   for (const uint64_t id : requests) {
-    EXPECT_EQ(deployment_->outcome(id).answers, 1);
+    EXPECT_EQ(deployment_->outcome(id).answer_count, 1);
   }
 }
 
@@ -218,7 +218,7 @@
       deployment_->Send(other, "model-7", "web", seconds(8));
   deployment_->RunFor(seconds(10));
   EXPECT_EQ(EnginesWith("model-7", "north"), 0) << "two owners at once";
-  EXPECT_EQ(deployment_->outcome(blocked).answers, 1);
+  EXPECT_EQ(deployment_->outcome(blocked).answer_count, 1);
   deployment_->ResumeHost(owner);
   deployment_->RunFor(seconds(10));
   const uint64_t free = deployment_->Send(other, "model-7");
@@ -252,15 +252,15 @@
     deployment_->Send(other, "model-3");
     deployment_->Send(other, "model-4");
     deployment_->RunFor(seconds(20));
-    ASSERT_TRUE(deployment_->broken_promises().empty())
-        << *deployment_->broken_promises().begin();
+    ASSERT_TRUE(deployment_->violations().empty())
+        << *deployment_->violations().begin();
   }
 }
 
 // The owner dies, and the one engine that holds a model answers nobody. Its
 // successor does not know what that engine holds. The rule allows one replica;
 // loading the model elsewhere would make it two.
-TEST_F(NodeFailureTest, SilentEngineMayHoldTheModel) {
+TEST_F(NodeFailureTest, UnreachableEngineMayHoldModel) {
   Start(Defaults());
   const std::string owner = OwnerOf("north/0");
   const std::string other = OtherHost(owner);
@@ -270,11 +270,11 @@
   for (const auto& [name, engine] : deployment_->engines()) {
     if (engine->settings().data_centre == "north" &&
         engine->IsReady("model-1")) {
-      deployment_->FailEngine(name, true);
+      deployment_->SetEngineFailing(name, true);
     }
   }
   deployment_->KillHost(owner);
-  deployment_->ListGone(owner);
+  deployment_->RemoveFromHostList(owner);
   deployment_->RunFor(seconds(10));
   ASSERT_EQ(OwnerOf("north/0"), other);
   for (int i = 0; i < 20; ++i) {
@@ -295,7 +295,7 @@
   const std::string owner = OwnerOf("north/0");
   const std::string other = OtherHost(owner);
   deployment_->KillHost(owner);
-  deployment_->ListGone(owner);
+  deployment_->RemoveFromHostList(owner);
   deployment_->RunFor(seconds(30));
   const uint64_t id = deployment_->Send(other, "model-7");
   deployment_->RunFor(seconds(10));
@@ -307,7 +307,7 @@
 // at once and truthfully.
 TEST_F(NodeFailureTest, LogDownServesModelsAndRefusesDoors) {
   Start(Defaults());
-  deployment_->SetLogDown(true);
+  deployment_->SetLogUnavailable(true);
   deployment_->RunFor(seconds(5));
   const uint64_t cold = deployment_->Send("entry-1", "model-5");
   const uint64_t door = deployment_->CallService("entry-2", "doors", NewKey());
@@ -316,7 +316,7 @@
             "log_unavailable: the log that guards this request is down");
   deployment_->RunFor(minutes(10));
   EXPECT_TRUE(IsAnswered(cold)) << Reason(cold);
-  deployment_->SetLogDown(false);
+  deployment_->SetLogUnavailable(false);
   deployment_->RunFor(seconds(3));
   const uint64_t again = deployment_->CallService("entry-2", "doors", NewKey());
   deployment_->RunFor(seconds(3));
@@ -331,10 +331,10 @@
   const std::string key = NewKey();
   const uint64_t door = deployment_->CallService("entry-1", "doors", key);
   deployment_->RunFor(milliseconds(9));
-  deployment_->SetLogDown(true);
+  deployment_->SetLogUnavailable(true);
   deployment_->RunFor(seconds(20));
   EXPECT_FALSE(IsAnswered(door));
-  deployment_->SetLogDown(false);
+  deployment_->SetLogUnavailable(false);
   deployment_->RunFor(seconds(5));
   EXPECT_EQ(deployment_->RunsOfKey(key), 0);
   const uint64_t again = deployment_->CallService("entry-3", "doors", key);
@@ -363,13 +363,13 @@
 // must not be told "not run".
 TEST_F(NodeFailureTest, BrokenCallThatMayNotRepeatIsNotRetried) {
   Start(Defaults());
-  deployment_->FailServices(true);
+  deployment_->SetServicesFailing(true);
   const std::string key = NewKey();
   const uint64_t id = deployment_->CallService("entry-1", "doors", key);
   deployment_->RunFor(seconds(5));
   EXPECT_EQ(deployment_->RunsOfKey(key), 1);
   EXPECT_EQ(deployment_->outcome(id).refusal.verdict, Verdict::kMayHaveRun);
-  deployment_->FailServices(false);
+  deployment_->SetServicesFailing(false);
   const uint64_t again = deployment_->CallService("entry-2", "doors", key);
   deployment_->RunFor(seconds(5));
   EXPECT_EQ(deployment_->outcome(again).refusal.reason,
@@ -381,7 +381,7 @@
 // the set that was published meanwhile once it is back.
 TEST_F(NodeFailureTest, CutDataCentreServesAndCatchesUp) {
   Start(Defaults());
-  deployment_->CutDataCentre("south", true);
+  deployment_->PartitionDataCentre("south", true);
   deployment_->RunFor(seconds(5));
   deployment_->Publish(
       TestRules("second"),
@@ -401,7 +401,7 @@
                 .current()
                 ->set.name,
             "test");
-  deployment_->CutDataCentre("south", false);
+  deployment_->PartitionDataCentre("south", false);
   deployment_->RunFor(seconds(6));
   EXPECT_EQ(deployment_->node("entry-3")
                 .context()
@@ -436,9 +436,9 @@
 // get the rules in force from its peers and become ready.
 TEST_F(NodeFailureTest, NewHostGetsRulesFromPeersWhileLogIsDown) {
   Start(Defaults());
-  deployment_->SetLogDown(true);
+  deployment_->SetLogUnavailable(true);
   deployment_->KillHost("entry-2");
-  deployment_->ReviveHost("entry-2");
+  deployment_->RestartHost("entry-2");
   deployment_->RunFor(seconds(10));
   EXPECT_TRUE(deployment_->node("entry-2").IsReady());
   EXPECT_EQ(deployment_->node("entry-2").context().control.rules().version(),
@@ -460,7 +460,7 @@
   for (const char* host : {"entry-1", "entry-2"}) {
     deployment_->KillHost(host);
   }
-  deployment_->ReviveHost("entry-1");
+  deployment_->RestartHost("entry-1");
   deployment_->RunFor(seconds(30));
   EXPECT_EQ(deployment_->node("entry-1").context().control.rules().version(),
             version);
@@ -479,7 +479,7 @@
   }
   deployment_->RunFor(seconds(20));
   for (const char* engine : {"engine-1", "engine-2", "engine-3", "engine-4"}) {
-    deployment_->FailEngine(engine, true);
+    deployment_->SetEngineFailing(engine, true);
   }
   const uint64_t before = deployment_->dispatched();
   uint64_t sent = 0;
@@ -532,7 +532,7 @@
   deployment_->RunFor(seconds(40));
   EXPECT_FALSE(deployment_->IsAlive(owner)) << "the drain does not end";
   for (const uint64_t id : requests) {
-    EXPECT_EQ(deployment_->outcome(id).answers, 1) << Reason(id);
+    EXPECT_EQ(deployment_->outcome(id).answer_count, 1) << Reason(id);
     EXPECT_TRUE(IsAnswered(id)) << Reason(id);
   }
   EXPECT_EQ(deployment_->outcome(late).refusal.reason,
@@ -554,7 +554,7 @@
       holder = name;
     }
   }
-  deployment_->ListLeaving(holder);
+  deployment_->MarkLeaving(holder);
   deployment_->RunFor(seconds(3));
   std::vector<uint64_t> requests;
   for (int i = 0; i < 20; ++i) {
@@ -582,7 +582,7 @@
   deployment_->RunFor(seconds(60));
   int answered = 0;
   for (const uint64_t id : requests) {
-    EXPECT_EQ(deployment_->outcome(id).answers, 1);
+    EXPECT_EQ(deployment_->outcome(id).answer_count, 1);
     answered += IsAnswered(id);
   }
   EXPECT_GT(answered, 30);
@@ -624,13 +624,13 @@
 
 // Every load fails. Those who wait are told so, with a time to come back, and
 // are not kept until their deadline.
-TEST_F(NodeFailureTest, FailedLoadsAreToldEarly) {
+TEST_F(NodeFailureTest, FailedLoadsAreRefusedEarly) {
   Start(Defaults());
-  deployment_->FailLoads(true);
+  deployment_->SetLoadsFailing(true);
   const uint64_t id =
       deployment_->Send("entry-1", "model-2", "web", seconds(9));
   deployment_->RunFor(seconds(8));
-  EXPECT_EQ(deployment_->outcome(id).answers, 1);
+  EXPECT_EQ(deployment_->outcome(id).answer_count, 1);
   EXPECT_EQ(deployment_->outcome(id).refusal.verdict, Verdict::kNotRun);
   EXPECT_GT(deployment_->outcome(id).refusal.retry_after, Duration::zero());
 }
@@ -652,34 +652,34 @@
 // One request ends each engine that begins to run it and is repeated at any
 // host. Each host counted for itself, so 12 engines had ended before the last
 // of four hosts kept it away. The log tells all of each end.
-TEST_F(NodeFailureTest, RequestThatEndsEnginesIsKnownAtAllHosts) {
+TEST_F(NodeFailureTest, PoisonRequestIsQuarantinedAtAllHosts) {
   Start(Defaults());
   const std::vector<std::string> hosts = deployment_->HostNames();
   for (int i = 0; i < 60; ++i) {
     deployment_->SendPoison(hosts[i % hosts.size()], "model-0");
     deployment_->RunFor(seconds(1));
   }
-  ASSERT_GE(deployment_->poison_ends().size(), 3u);
-  const TimePoint agreed = deployment_->poison_ends()[2] + seconds(3);
-  const auto repeats = std::count_if(deployment_->poison_ends().begin(),
-                                     deployment_->poison_ends().end(),
+  ASSERT_GE(deployment_->poison_crashes().size(), 3u);
+  const TimePoint agreed = deployment_->poison_crashes()[2] + seconds(3);
+  const auto repeats = std::count_if(deployment_->poison_crashes().begin(),
+                                     deployment_->poison_crashes().end(),
                                      [&](TimePoint at) { return at > agreed; });
-  EXPECT_LE(repeats, 3) << deployment_->poison_ends().size();
+  EXPECT_LE(repeats, 3) << deployment_->poison_crashes().size();
   // A host that starts from a snapshot knows it as well.
   deployment_->KillHost(hosts[0]);
-  deployment_->ReviveHost(hosts[0]);
+  deployment_->RestartHost(hosts[0]);
   AwaitReady();
-  const size_t ends = deployment_->poison_ends().size();
+  const size_t ends = deployment_->poison_crashes().size();
   const uint64_t id = deployment_->SendPoison(hosts[0], "model-0");
   deployment_->RunFor(seconds(5));
   EXPECT_TRUE(Reason(id).starts_with("quarantined")) << Reason(id);
-  EXPECT_EQ(deployment_->poison_ends().size(), ends);
-  EXPECT_TRUE(deployment_->broken_promises().empty());
+  EXPECT_EQ(deployment_->poison_crashes().size(), ends);
+  EXPECT_TRUE(deployment_->violations().empty());
 }
 
 // Guards against requests that are forgotten by a host that stood still past
 // their deadline.
-TEST_F(NodeFailureTest, RequestsOfAFrozenHostEndWhenItWakes) {
+TEST_F(NodeFailureTest, RequestsOfPausedHostEndOnResume) {
   Start(Defaults());
   const std::string host = "entry-1";
   const uint64_t before = deployment_->Send(host, "model-0", "web",
@@ -688,13 +688,13 @@
   const uint64_t meanwhile =
       deployment_->Send(host, "model-1", "web", seconds(5));
   deployment_->RunFor(minutes(5));
-  EXPECT_EQ(deployment_->outcome(before).answers, 0);
-  EXPECT_EQ(deployment_->outcome(meanwhile).answers, 0);
+  EXPECT_EQ(deployment_->outcome(before).answer_count, 0);
+  EXPECT_EQ(deployment_->outcome(meanwhile).answer_count, 0);
   deployment_->ResumeHost(host);
   deployment_->RunFor(milliseconds(100));
-  EXPECT_EQ(deployment_->outcome(before).answers, 1);
+  EXPECT_EQ(deployment_->outcome(before).answer_count, 1);
   deployment_->RunFor(seconds(5) + milliseconds(100));
-  EXPECT_EQ(deployment_->outcome(meanwhile).answers, 1);
+  EXPECT_EQ(deployment_->outcome(meanwhile).answer_count, 1);
 }
 
 }  // namespace
--- a/tests/node/node_test.cc
+++ b/tests/node/node_test.cc
@@ -23,7 +23,7 @@
     batch.records = {
         {1, now_,
          PublishRecord("p", 0, Json{{"document", *ParseJson(kRules)}}).dump()}};
-    Handle(LogRead{batch});
+    Handle(LogBatchRead{batch});
     HostList list;
     list.as_of = now_;
     HostEntry service;
@@ -107,7 +107,7 @@
 // has ended; its handle means nobody then.
 TEST_F(NodeTest, EventsOfEndedRequestsAreIgnored) {
   Handle(AttemptStarted{99});
-  Handle(CallerGone{99});
+  Handle(CallerDisconnected{99});
   Handle(AttemptEnded{});
   EXPECT_TRUE(actions_.empty());
 }
--- a/tests/node/poison_fixture.h
+++ b/tests/node/poison_fixture.h
@@ -72,7 +72,7 @@
   void Serve(const std::string& host, const DispatchRequest& sent) {
     const uint64_t fingerprint = contents_.at(sent.handle);
     if (ended_.contains(sent.backend)) {
-      Handle(host, EndOf(sent, AttemptResult::kNotSent, "refused"));
+      Handle(host, MakeAttemptEnd(sent, AttemptResult::kNotSent, "refused"));
       return;
     }
     sends_.push_back({now_, host, fingerprint});
@@ -80,7 +80,8 @@
       running_[sent.backend].push_back({host, sent, now_});
       return;
     }
-    AttemptEnded cut = BrokenOff(sent, "end of stream", /*is_cut=*/true);
+    AttemptEnded cut =
+        MakeBrokenAttemptEnd(sent, "end of stream", /*is_cut=*/true);
     EndServer(sent.backend);
     Handle(host, cut);
   }
@@ -90,7 +91,8 @@
     ended_.insert(server);
     ends_.push_back(now_);
     for (const Running& one : std::move(running_[server])) {
-      AttemptEnded cut = BrokenOff(one.sent, "partial", /*is_cut=*/true);
+      AttemptEnded cut =
+          MakeBrokenAttemptEnd(one.sent, "partial", /*is_cut=*/true);
       cut.has_delivered = true;
       cut.answered_for = now_ - one.at;
       Handle(one.host, cut);
@@ -106,7 +108,7 @@
       const bool is_engine = old.starts_with("llm");
       const std::string id =
           (is_engine ? "llm-r" : "app-r") + std::to_string(++restarts_);
-      ServersListed listed;
+      ServerListRead listed;
       listed.gone = {old};
       listed.listed = {is_engine ? Server(id, "llm", "llm/m0")
                                  : Server(id, "app")};
@@ -121,7 +123,8 @@
     running_.clear();
     for (const auto& [server, rows] : running) {
       for (const Running& one : rows) {
-        Handle(one.host, EndOf(one.sent, AttemptResult::kCompleted, ""));
+        Handle(one.host,
+               MakeAttemptEnd(one.sent, AttemptResult::kCompleted, ""));
       }
     }
   }
--- a/tests/node/quarantine_chaos_test.cc
+++ b/tests/node/quarantine_chaos_test.cc
@@ -180,7 +180,7 @@
   ASSERT_FALSE(SendOnce("d"));
   Cut("d", true, true);
   hosts_.at("d").is_cut_from_store = true;
-  Handle(copy.host, EndOf(copy.sent, AttemptResult::kCompleted, ""));
+  Handle(copy.host, MakeAttemptEnd(copy.sent, AttemptResult::kCompleted, ""));
   RunServers(std::chrono::minutes(2));
   HealAll();
   RunServers(kKnownEverywhere);
--- a/tests/node/quarantine_test.cc
+++ b/tests/node/quarantine_test.cc
@@ -54,7 +54,7 @@
     ++incarnation_;
     Add(name);
     // What the listing shows by now.
-    ServersListed listed;
+    ServerListRead listed;
     listed.is_whole = true;
     listed.listed = {Server("app-1", "app"), Server("llm-x", "llm", "llm/m0"),
                      Server("llm-y", "llm", "llm/m0")};
@@ -276,7 +276,7 @@
   SendPoison("a", 3);
   ASSERT_TRUE(IsRefused("b"));
   const size_t sends = sends_.size();
-  AttemptEnded cut = BrokenOff(sent, "partial", /*is_cut=*/true);
+  AttemptEnded cut = MakeBrokenAttemptEnd(sent, "partial", /*is_cut=*/true);
   cut.has_delivered = true;
   cut.can_resume = true;
   Handle(host, cut);
@@ -294,7 +294,7 @@
   const auto [host, sent, at] = BeginCopy();
   SendPoison("a", 3);
   ASSERT_TRUE(IsRefused("a"));
-  Handle(host, EndOf(sent, AttemptResult::kCompleted, ""));
+  Handle(host, MakeAttemptEnd(sent, AttemptResult::kCompleted, ""));
   RunServers(seconds(2));
   EXPECT_EQ(Held("a") + Held("b"), 0u);
   EXPECT_TRUE(quarantined_.empty()) << "the record is withdrawn";
@@ -327,12 +327,12 @@
   context.actions = &actions;
   context.now = TimePoint{std::chrono::hours(500000)};
   LogWriter writer(context);
-  QuarantineKeeper keeper(context, writer);
-  const auto reads = [&](bool is_owner, bool hears_owner) {
+  QuarantineManager keeper(context, writer);
+  const auto reads = [&](bool is_owner, bool is_owner_reachable) {
     actions.clear();
     for (int i = 0; i < 400; ++i) {
       context.now += milliseconds(25);
-      keeper.RunTick(is_owner, hears_owner);
+      keeper.RunTick(is_owner, is_owner_reachable);
     }
     return actions.size();
   };
--- a/tests/node/quota_centre_test.cc
+++ b/tests/node/quota_centre_test.cc
@@ -59,7 +59,7 @@
   int Refused() const {
     int count = 0;
     for (const auto& [name, host] : hosts_) {
-      for (const RefuseRequest& one : Done<RefuseRequest>(name)) {
+      for (const RefuseRequest& one : ActionsOf<RefuseRequest>(name)) {
         if (one.refusal.reason == RefusalReason::kQuotaUsedUp) ++count;
       }
     }
--- a/tests/node/server_limit_fixture.h
+++ b/tests/node/server_limit_fixture.h
@@ -69,7 +69,7 @@
     for (const auto& [at, answer] : ended) {
       const AttemptResult result =
           is_failing_ ? AttemptResult::kBroken : AttemptResult::kCompleted;
-      AttemptEnded end = EndOf(answer.sent, result, "");
+      AttemptEnded end = MakeAttemptEnd(answer.sent, result, "");
       end.limit = answer.word;
       Handle(answer.host, end);
     }
--- a/tests/node/server_limit_test.cc
+++ b/tests/node/server_limit_test.cc
@@ -14,7 +14,7 @@
   void ListStart(const std::string& id) {
     ListedServer server = Server(id, "app");
     server.started_at = now_;
-    ServersListed listed;
+    ServerListRead listed;
     listed.listed = {server};
     for (const auto& [name, host] : hosts_) Handle(name, listed);
   }
@@ -118,7 +118,7 @@
     return dump["server_limits"]["ledger"]["servers"].size();
   };
   EXPECT_EQ(limited(), 1u);
-  ServersListed listed;
+  ServerListRead listed;
   listed.gone = {"app-1"};
   for (const auto& [name, host] : hosts_) {
     Handle(name, StoreReached{});
--- a/tests/node/store_relay_test.cc
+++ b/tests/node/store_relay_test.cc
@@ -13,8 +13,8 @@
 using std::chrono::seconds;
 
 constexpr char kTopic[] = "servers";
-constexpr NewsBudget kBudget = NewsBudget::Within(seconds(2));
-constexpr Duration kTrust = kBudget.trust;
+constexpr FreshnessBudget kBudget = FreshnessBudget::Within(seconds(2));
+constexpr Duration kTrust = kBudget.max_staleness;
 
 // Two hosts of a data centre, the link between them and a store with one topic
 // to which a record comes every 100 ms.
@@ -54,13 +54,13 @@
 
   // Every host's own read, if it reads: all that is new comes at once.
   void ReadStore(Host& host) {
-    if (!host.relay.reads_itself()) return;
+    if (!host.relay.is_reading_store()) return;
     ++host.calls;
     if (!host.has_store) {
       host.context.log_failed = true;
       return;
     }
-    host.context.NoteLogAnswer(now_);
+    host.context.RecordLogResponse(now_);
     const LogOffset from = std::exchange(host.next, end_);
     host.relay.TakeNews({.topic = kTopic,
                          .from = from,
@@ -74,7 +74,7 @@
     for (const Action& action : actions) {
       if (const auto* sent = std::get_if<SendPeer>(&action)) {
         if (!is_link_cut_) link_.push_back({now_ + delay_, name, *sent});
-      } else if (const auto* news = std::get_if<TakeStoreNews>(&action)) {
+      } else if (const auto* news = std::get_if<ApplyStoreUpdates>(&action)) {
         ASSERT_LE(news->from, host.next) << "a gap";
         host.next = std::max(host.next, news->next);
         relayed_records_ += news->records.size();
@@ -126,7 +126,7 @@
       host->relay.SetReader({"reader", "reader"});
     }
     Run(seconds(2));
-    ASSERT_FALSE(follower().relay.reads_itself());
+    ASSERT_FALSE(follower().relay.is_reading_store());
   }
 
   TimePoint now_{std::chrono::hours(500000)};
@@ -158,7 +158,7 @@
   Follow();
   reader().is_down = true;
   Run(kTrust + milliseconds(50));
-  EXPECT_TRUE(follower().relay.reads_itself());
+  EXPECT_TRUE(follower().relay.is_reading_store());
   Run(milliseconds(200));
   EXPECT_GE(follower().next + 2, end_);
 }
@@ -169,11 +169,11 @@
   Follow();
   reader().has_store = false;
   Run(kTrust + milliseconds(400));
-  EXPECT_TRUE(follower().relay.reads_itself());
+  EXPECT_TRUE(follower().relay.is_reading_store());
   EXPECT_GE(follower().next + 2, end_);
   reader().has_store = true;
   Run(seconds(2));
-  EXPECT_FALSE(follower().relay.reads_itself());
+  EXPECT_FALSE(follower().relay.is_reading_store());
 }
 
 // Messages are held up on a link for seconds and come all at once when it
@@ -183,9 +183,9 @@
   Follow();
   delay_ = seconds(3);
   Run(seconds(2));
-  ASSERT_TRUE(follower().relay.reads_itself());
+  ASSERT_TRUE(follower().relay.is_reading_store());
   Run(seconds(4));
-  EXPECT_TRUE(follower().relay.reads_itself());
+  EXPECT_TRUE(follower().relay.is_reading_store());
   EXPECT_GE(follower().next + 2, end_);
 }
 
@@ -197,7 +197,7 @@
   Run(milliseconds(500));
   is_link_cut_ = false;
   Run(seconds(2));
-  EXPECT_FALSE(follower().relay.reads_itself());
+  EXPECT_FALSE(follower().relay.is_reading_store());
   EXPECT_GE(follower().next + 2, end_);
 }
 
@@ -221,7 +221,7 @@
   follower().is_down = false;
   link_.clear();
   Step();
-  EXPECT_TRUE(follower().relay.reads_itself());
+  EXPECT_TRUE(follower().relay.is_reading_store());
 }
 
 TEST_F(StoreRelayTest, ReaderThatIsReplacedReadsOn) {
@@ -229,8 +229,8 @@
   reader().relay.SetReader({"follower", "follower"});
   follower().relay.SetReader({"follower", "follower"});
   Run(seconds(3));
-  EXPECT_TRUE(follower().relay.reads_itself());
-  EXPECT_FALSE(reader().relay.reads_itself());
+  EXPECT_TRUE(follower().relay.is_reading_store());
+  EXPECT_FALSE(reader().relay.is_reading_store());
   EXPECT_GE(reader().next + 2, end_);
 }
 
@@ -242,14 +242,14 @@
   hosts_["backup"]->context.log_answered_at = now_;
   for (auto& [name, host] : hosts_) host->relay.SetBackup({"backup", "backup"});
   Follow();
-  ASSERT_FALSE(hosts_["backup"]->relay.reads_itself());
+  ASSERT_FALSE(hosts_["backup"]->relay.is_reading_store());
   follower().has_store = false;
   reader().is_down = true;
   // The trust in the reader and the backup's, its read and a beat of 0.5 s.
   Run(2 * kTrust + milliseconds(700));
   EXPECT_GE(follower().next + 4, end_);
   Run(seconds(2));
-  EXPECT_FALSE(follower().relay.reads_itself());
+  EXPECT_FALSE(follower().relay.is_reading_store());
   EXPECT_GE(follower().next + 4, end_);
 }
 
--- a/tests/node/team_test.cc
+++ b/tests/node/team_test.cc
@@ -58,7 +58,7 @@
 
   // Why a request was refused; empty if it was sent.
   std::string RefusalOf(RequestHandle handle) const {
-    for (const RefuseRequest& refused : Done<RefuseRequest>("a")) {
+    for (const RefuseRequest& refused : ActionsOf<RefuseRequest>("a")) {
       if (refused.handle == handle) {
         return RefusalReasonName(refused.refusal.reason);
       }
@@ -70,7 +70,7 @@
 TEST_F(TeamTest, RequestRunsForTheTeamThatHoldsItsKey) {
   Ask("a", 1, "/once/x", "key-1");
   Ask("a", 2, "/once/x", "key-2");
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_EQ(sent[0].team, "studs");
   EXPECT_EQ(sent[1].team, "agents");
@@ -79,7 +79,7 @@
 TEST_F(TeamTest, TeamsPriorityGoesBeforeTheRules) {
   Ask("a", 1, "/once/x", "key-1");
   Ask("a", 2, "/once/x", "key-2");
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 2u);
   EXPECT_EQ(sent[0].priority, 0);
   EXPECT_EQ(sent[1].priority, 2);
@@ -90,14 +90,14 @@
   Ask("a", 2, "/once/x", "");
   EXPECT_EQ(RefusalOf(1), "unauthorized");
   EXPECT_EQ(RefusalOf(2), "unauthorized");
-  EXPECT_TRUE(Done<DispatchRequest>("a").empty());
+  EXPECT_TRUE(ActionsOf<DispatchRequest>("a").empty());
 }
 
 TEST_F(TeamTest, PublicRulesNeedNoKeyAndKnowATeamThatShowsOne) {
   Ask("a", 1, "/open/x", "");
   Ask("a", 2, "/open/x", "key-9");
   Ask("a", 3, "/open/x", "key-1");
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 3u);
   EXPECT_EQ(sent[0].team, "");
   EXPECT_EQ(sent[1].team, "");
@@ -126,7 +126,7 @@
 TEST_F(TeamTest, WithoutTeamsNothingIsAskedOrSet) {
   Handle("a", RuleSetRead{3, *ParseJson(kTeamRules)});
   Ask("a", 1, "/once/x", "");
-  const auto sent = Done<DispatchRequest>("a");
+  const auto sent = ActionsOf<DispatchRequest>("a");
   ASSERT_EQ(sent.size(), 1u);
   EXPECT_FALSE(sent[0].team.has_value());
   EXPECT_EQ(sent[0].priority, 2);
@@ -145,13 +145,13 @@
   Ask("b", 1, "/once/x", "key-3", 77);
   Install(4, {{"studs", "key-4"}, {"agents", "key-2"}});
   Ask("b", 2, "/once/x", "key-4", 77);
-  const auto refused = Done<RefuseRequest>("b");
+  const auto refused = ActionsOf<RefuseRequest>("b");
   ASSERT_EQ(refused.size(), 2u);
   for (const RefuseRequest& one : refused) {
     EXPECT_EQ(one.refusal.reason, RefusalReason::kQuarantined);
   }
   Ask("b", 3, "/once/x", "key-2", 77);
-  EXPECT_EQ(Done<DispatchRequest>("b").size(), 1u);
+  EXPECT_EQ(ActionsOf<DispatchRequest>("b").size(), 1u);
 }
 
 // No dump of a host gives a key away, nor do the decisions it keeps.
@@ -175,7 +175,7 @@
     Run(milliseconds(50));
   }
   int refused = 0;
-  for (const RefuseRequest& one : Done<RefuseRequest>("a")) {
+  for (const RefuseRequest& one : ActionsOf<RefuseRequest>("a")) {
     if (one.refusal.reason != RefusalReason::kQuotaUsedUp) continue;
     ++refused;
     EXPECT_EQ(one.refusal.verdict, Verdict::kNotRun);
--- a/tests/node/news_chaos_test.cc
+++ b/tests/node/update_chaos_test.cc
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "tests/node/configuration_text.h"
-#include "tests/node/news_fleet.h"
+#include "tests/node/update_fleet.h"
 
 namespace applehall {
 namespace {
--- a/tests/node/news_ways_test.cc
+++ b/tests/node/update_cost_test.cc
@@ -3,7 +3,7 @@
 #include <cstdio>
 
 #include "tests/node/configuration_text.h"
-#include "tests/node/news_fleet.h"
+#include "tests/node/update_fleet.h"
 
 namespace applehall {
 namespace {
--- a/tests/node/news_delivery_test.cc
+++ b/tests/node/update_delivery_test.cc
@@ -1,7 +1,7 @@
 // How soon news of the store are in force at the hosts of a data centre.
 
 #include "tests/node/configuration_text.h"
-#include "tests/node/news_fleet.h"
+#include "tests/node/update_fleet.h"
 
 namespace applehall {
 namespace {
--- a/tests/node/news_fleet.h
+++ b/tests/node/update_fleet.h
@@ -1,8 +1,8 @@
 // Hosts of one data centre that follow the platform's store, under a paused
 // clock: their relays, their own reads, and links with a rate and a queue.
 
-#ifndef APPLEHALL_TESTS_NODE_NEWS_FLEET_H_
-#define APPLEHALL_TESTS_NODE_NEWS_FLEET_H_
+#ifndef APPLEHALL_TESTS_NODE_UPDATE_FLEET_H_
+#define APPLEHALL_TESTS_NODE_UPDATE_FLEET_H_
 
 #include <gtest/gtest.h>
 
@@ -82,7 +82,8 @@
     TimePoint at;
   };
 
-  explicit NewsFleet(Duration bound) : budget_(NewsBudget::Within(bound)) {}
+  explicit NewsFleet(Duration bound)
+      : budget_(FreshnessBudget::Within(bound)) {}
 
   void Restart(const std::string& name) {
     const double bytes_per_second = host(name).up.bytes_per_second;
@@ -245,13 +246,13 @@
   void Perform(const std::string& name, Host& host, const Action& action) {
     if (const auto* sent = std::get_if<SendPeer>(&action)) {
       Carry(name, *sent);
-    } else if (const auto* follow = std::get_if<FollowStore>(&action)) {
+    } else if (const auto* follow = std::get_if<SetStorePolling>(&action)) {
       host.is_reading = follow->is_reading;
       for (auto& [topic, reading] : host.topics) {
         reading.as_of = std::max(reading.as_of, follow->as_of);
         if (reading.call == 0) reading.is_due = true;
       }
-    } else if (const auto* news = std::get_if<TakeStoreNews>(&action)) {
+    } else if (const auto* news = std::get_if<ApplyStoreUpdates>(&action)) {
       Host::Reading& reading = host.topics.at(news->topic);
       if (reading.next < news->from || reading.next >= news->next) return;
       EXPECT_EQ(news->records, Bytes(news->topic, news->from, news->next));
@@ -425,7 +426,7 @@
     reading.as_of = std::max(reading.as_of, as_of);
     if (has_news) reading.next = to;
     Enter(name, [&](Host& h) {
-      h.context.NoteLogAnswer(now_);
+      h.context.RecordLogResponse(now_);
       h.relay.TakeNews({.topic = topic,
                         .from = has_news ? from : reading.next,
                         .next = reading.next,
@@ -445,14 +446,16 @@
     reading.call = 0;
     calls_.erase(call);
     host.context.log_failed = true;
-    reading.retry_pause = std::clamp(2 * reading.retry_pause,
-                                     budget_.retry_pause, 2 * budget_.beat);
+    reading.retry_pause =
+        std::clamp(2 * reading.retry_pause, budget_.retry_pause,
+                   2 * budget_.heartbeat_interval);
     DueAfter(name, topic, reading.retry_pause);
   }
 
   Duration UntilRenewal(const Host::Reading& reading) const {
     const Duration age = now_ - reading.as_of;
-    return std::clamp(budget_.renewal - age, Duration{0}, budget_.renewal);
+    return std::clamp(budget_.renewal_interval - age, Duration{0},
+                      budget_.renewal_interval);
   }
 
   void DueAfter(const std::string& name, const std::string& topic,
@@ -486,7 +489,7 @@
     }
   }
 
-  NewsBudget budget_;
+  FreshnessBudget budget_;
   TimePoint now_{std::chrono::hours(500000)};
   TimePoint ticked_at_ = now_;
   std::map<std::string, TopicLog> logs_{{kConfigNews, {}}, {kServerNews, {}}};
@@ -509,4 +512,4 @@
 
 }  // namespace applehall
 
-#endif  // APPLEHALL_TESTS_NODE_NEWS_FLEET_H_
+#endif  // APPLEHALL_TESTS_NODE_UPDATE_FLEET_H_
--- a/tests/placement/fleet_planner_test.cc
+++ b/tests/placement/fleet_planner_test.cc
@@ -58,7 +58,7 @@
 
   void List() {
     EngineList list;
-    for (const auto& [id, engine] : engines_) list[id] = engine->Listing();
+    for (const auto& [id, engine] : engines_) list[id] = engine->ListedEntry();
     planner_->SetServers(list, now_);
   }
 
@@ -124,7 +124,7 @@
       Answer(sent, OrderResult::kUnanswered);
       return;
     }
-    const OrderResult result = engine.Take(sent.order, now_);
+    const OrderResult result = engine.Execute(sent.order, now_);
     Answer(sent, luck < lost_ + late_ + answer_lost_ ? OrderResult::kUnanswered
                                                      : result);
   }
@@ -136,7 +136,7 @@
   void DeliverLate() {
     std::erase_if(late_orders_, [this](const LateOrder& late) {
       if (late.arrives > now_) return false;
-      engines_.at(late.sent.engine)->Take(late.sent.order, now_);
+      engines_.at(late.sent.engine)->Execute(late.sent.order, now_);
       return true;
     });
   }
@@ -144,12 +144,12 @@
   int Replicas(const std::string& name) const {
     return static_cast<int>(std::count_if(
         engines_.begin(), engines_.end(),
-        [&](const auto& item) { return item.second->Holds(name); }));
+        [&](const auto& item) { return item.second->IsLoaded(name); }));
   }
 
   bool IsReady(const std::string& target) const {
     return std::any_of(engines_.begin(), engines_.end(), [&](const auto& item) {
-      const auto ready = planner_->ReadyOn(item.first);
+      const auto ready = planner_->ReadyTargetsOf(item.first);
       return std::find(ready.begin(), ready.end(), target) != ready.end();
     });
   }
@@ -204,21 +204,21 @@
 
 TEST_F(FleetPlannerTest, WaitedForModelIsLoadedOnceFromWhereItIsNearest) {
   Use(3, 4);
-  engines_.at("e2")->Hold(ModelName(0), kModelBytes);
+  engines_.at("e2")->Place(ModelName(0), kModelBytes);
   List();
   Run(milliseconds(100));
   // It leaves memory, but stays on the disk of e2.
   EngineOrder unload;
   unload.kind = OrderKind::kUnload;
   unload.name = ModelName(0);
-  engines_.at("e2")->Take(unload, now_);
+  engines_.at("e2")->Execute(unload, now_);
   Run(seconds(12));  // The idle report finds out.
   if (!IsReady(ModelName(0))) {
     Report(ModelName(0), 1);
     Run(milliseconds(2200));
   }
   EXPECT_TRUE(IsReady(ModelName(0)));
-  EXPECT_TRUE(engines_.at("e2")->Holds(ModelName(0)));
+  EXPECT_TRUE(engines_.at("e2")->IsLoaded(ModelName(0)));
 }
 
 // A caller's rare model waits for a place although one unload is done: the
@@ -227,7 +227,7 @@
 TEST_F(FleetPlannerTest, EndOfAnOrderIsSeenInTheFirstReportThatCountsIt) {
   Use(1, 4);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   Run(seconds(3));
   const TimePoint asked = now_;
   Report(ModelName(3), 1);
@@ -244,7 +244,7 @@
 TEST_F(FleetPlannerTest, BusyModelsStayForSingleRareRequests) {
   Use(1, 6);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   List();
   for (int second = 0; second < 13; ++second) {
     for (int i = 0; i < 3; ++i) Report(ModelName(i), 0, 7);
@@ -261,7 +261,7 @@
 TEST_F(FleetPlannerTest, ModelsThatWereBusyGiveWayWhenDemandHasMoved) {
   Use(1, 6);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   Run(seconds(3));
   for (int i = 0; i < 3; ++i) Report(ModelName(i), 0, 30);
   Run(seconds(20));
@@ -276,8 +276,8 @@
 // three times in a row while another engine held the same base model.
 TEST_F(FleetPlannerTest, AdaptersGoToAnEngineThatIsNotBusy) {
   Use(2, 8, /*adapters=*/4);
-  engines_.at("e0")->Hold(ModelName(0), kModelBytes);
-  engines_.at("e1")->Hold(ModelName(0), kModelBytes);
+  engines_.at("e0")->Place(ModelName(0), kModelBytes);
+  engines_.at("e1")->Place(ModelName(0), kModelBytes);
   List();
   Run(milliseconds(40));
   for (int a = 1; a <= 4; ++a) {
@@ -285,7 +285,7 @@
     Run(milliseconds(200));
   }
   int refused = 0;
-  for (const PlacementNote& note : planner_->TakeNotes()) {
+  for (const PlacementEvent& note : planner_->TakeEvents()) {
     if (note.event == "order_answered" && note.reason == "busy") ++refused;
   }
   EXPECT_EQ(refused, 0);
@@ -326,7 +326,7 @@
   newer.name = ModelName(3);
   newer.bytes = kModelBytes;
   newer.fence = {token_ + 1, 1};
-  engines_.at("e0")->Take(newer, now_);
+  engines_.at("e0")->Execute(newer, now_);
   Report(ModelName(0), 1);
   Run(seconds(10));
   EXPECT_TRUE(planner_->is_superseded());
@@ -343,8 +343,8 @@
 TEST_F(FleetPlannerTest, EngineThatIsBusyForAnEarlierOwnerIsNotFilled) {
   Use(1, 6);
   FakeCountedEngine& engine = *engines_.at("e0");
-  engine.Hold(ModelName(0), kModelBytes);
-  engine.Hold(ModelName(1), kModelBytes);
+  engine.Place(ModelName(0), kModelBytes);
+  engine.Place(ModelName(1), kModelBytes);
   planner_->SetCatalogue(nullptr, &classes_);  // Nothing to bring ahead.
   Run(seconds(1));
   EngineOrder earlier;
@@ -352,7 +352,7 @@
   earlier.name = ModelName(2);
   earlier.bytes = kModelBytes;
   earlier.fence = {token_ - 1, 1};
-  ASSERT_EQ(engine.Take(earlier, now_), OrderResult::kAccepted);
+  ASSERT_EQ(engine.Execute(earlier, now_), OrderResult::kAccepted);
   planner_->SetCatalogue(&catalogue_, &classes_);
   Report(ModelName(0), 1);  // A host missed the plan: the engine is asked.
   std::vector<OrderToSend> orders;
@@ -362,7 +362,7 @@
   Report(ModelName(3), 1);
   planner_->Decide(true, now_, orders);
   for (const OrderToSend& order : orders) {
-    if (order.order.kind == OrderKind::kLoad) engine.Take(order.order, now_);
+    if (order.order.kind == OrderKind::kLoad) engine.Execute(order.order, now_);
   }
   EXPECT_FALSE(engine.was_overcommitted());
 }
@@ -373,7 +373,7 @@
 TEST_F(FleetPlannerTest, AdaptersOfAnEarlierOwnerAreNotLoadedOnTopOf) {
   Use(1, 1, /*adapters=*/12);
   FakeCountedEngine& engine = *engines_.at("e0");
-  engine.Hold(ModelName(0), kModelBytes);
+  engine.Place(ModelName(0), kModelBytes);
   const auto adapter = [](int i) {
     return ModelName(0) + "/a" + std::to_string(i);
   };
@@ -384,7 +384,7 @@
     earlier.base = ModelName(0);
     earlier.bytes = 66'000'000;
     earlier.fence = {token_ - 1, 1};
-    ASSERT_EQ(engine.Take(earlier, now_), OrderResult::kAccepted);
+    ASSERT_EQ(engine.Execute(earlier, now_), OrderResult::kAccepted);
   };
   for (int i = 1; i <= 5; ++i) load_earlier(i);
   const Inventory lagging = engine.Report();
@@ -406,7 +406,7 @@
 // took half a second in place of some ms.
 TEST_F(FleetPlannerTest, AdapterTakesAnothersPlaceAtOnce) {
   Use(1, 1, /*adapters=*/12);
-  engines_.at("e0")->Hold(ModelName(0), kModelBytes);
+  engines_.at("e0")->Place(ModelName(0), kModelBytes);
   Run(milliseconds(100));
   for (int i = 1; i <= 8; ++i) {
     Report(ModelName(0) + "/a" + std::to_string(i), 1, 1);
@@ -465,10 +465,10 @@
   Report(ModelName(0), 1);
   now_ += milliseconds(50);
   planner_->Decide(true, now_, orders);
-  ASSERT_FALSE(planner_->IsQuiet());
+  ASSERT_FALSE(planner_->IsIdle());
   now_ += seconds(4);
   planner_->Decide(true, now_, orders);
-  EXPECT_TRUE(planner_->IsQuiet());
+  EXPECT_TRUE(planner_->IsIdle());
 }
 
 // A model becomes popular while all engines are full. Making room takes a third
@@ -479,7 +479,7 @@
   Use(8, 24);  // Each has its place: none is brought ahead of requests.
   int model = 0;
   for (auto& [id, engine] : engines_) {
-    for (int i = 0; i < 3; ++i) engine->Hold(ModelName(model++), kModelBytes);
+    for (int i = 0; i < 3; ++i) engine->Place(ModelName(model++), kModelBytes);
     engine->unload_time = milliseconds(340);
   }
   List();
@@ -502,8 +502,8 @@
   Use(2, 6);
   engines_.at("e1")->Restart(now_);  // Tells when it started.
   for (int i = 0; i < 3; ++i) {
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
-    engines_.at("e1")->Hold(ModelName(i + 3), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
+    engines_.at("e1")->Place(ModelName(i + 3), kModelBytes);
   }
   List();
   Run(seconds(3));
@@ -521,7 +521,7 @@
   for (auto& [id, engine] : engines_) engine->load_from_disk = seconds(10);
   int model = 0;
   for (auto& [id, engine] : engines_) {
-    engine->Hold(ModelName(model++), kModelBytes);
+    engine->Place(ModelName(model++), kModelBytes);
     engine->Restart(now_);
   }
   List();
@@ -538,14 +538,14 @@
 TEST_F(FleetPlannerTest, ReplicasOfARisingModelAreLoadedSideBySide) {
   Use(12, 3);
   for (auto& [id, engine] : engines_) {
-    engine->Hold(ModelName(0), kModelBytes);
-    engine->Hold(ModelName(1), kModelBytes);
+    engine->Place(ModelName(0), kModelBytes);
+    engine->Place(ModelName(1), kModelBytes);
   }
   List();
   Run(seconds(3));
   // A copy of it stays on each disk.
   for (auto& [id, engine] : engines_) {
-    if (id != "e0" && id != "e1") engine->Drop(ModelName(0));
+    if (id != "e0" && id != "e1") engine->Lose(ModelName(0));
   }
   List();
   Run(seconds(11));  // Until the next idle report.
@@ -563,7 +563,7 @@
 TEST_F(FleetPlannerTest, LoadFollowsAnUnloadBeforeItsReport) {
   Use(1, 4);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   List();
   Run(seconds(3));
   report_lag_ = milliseconds(300);
@@ -580,7 +580,7 @@
   Use(8, 40);
   int model = 0;
   for (auto& [id, engine] : engines_) {
-    for (int i = 0; i < 3; ++i) engine->Hold(ModelName(model++), kModelBytes);
+    for (int i = 0; i < 3; ++i) engine->Place(ModelName(model++), kModelBytes);
   }
   List();
   Run(seconds(3));
@@ -603,7 +603,7 @@
 TEST_F(FleetPlannerTest, LoadThatIsRefusedWaitsForItsRoom) {
   Use(1, 4);
   for (int i = 0; i < 3; ++i)
-    engines_.at("e0")->Hold(ModelName(i), kModelBytes);
+    engines_.at("e0")->Place(ModelName(i), kModelBytes);
   engines_.at("e0")->unload_time = milliseconds(700);
   List();
   Run(seconds(3));
@@ -640,7 +640,7 @@
 // the model counted as ready there, it was loaded nowhere else.
 TEST_F(FleetPlannerTest, ModelAtASilentEngineIsNotReady) {
   Use(3, 8);
-  engines_.at("e0")->Hold(ModelName(7), kModelBytes);
+  engines_.at("e0")->Place(ModelName(7), kModelBytes);
   List();
   Run(milliseconds(500));
   ASSERT_TRUE(IsReady(ModelName(7)));
@@ -678,7 +678,7 @@
 TEST_F(FleetPlannerTest, ReportOfAnEarlierLifeIsIgnored) {
   Use(1, 4);
   engines_.at("e0")->Restart(now_);
-  engines_.at("e0")->Hold(ModelName(2), kModelBytes);
+  engines_.at("e0")->Place(ModelName(2), kModelBytes);
   List();
   Run(milliseconds(100));
   ASSERT_TRUE(IsReady(ModelName(2)));
@@ -695,8 +695,8 @@
 // asked for it: the rest has nowhere to go.
 TEST_F(FleetPlannerTest, ReplicaIsLoadedBesideALimitedServer) {
   Use(/*engines=*/3, /*models=*/2);
-  engines_["e0"]->Hold(ModelName(0), kModelBytes);
-  engines_["e1"]->Drop("none");
+  engines_["e0"]->Place(ModelName(0), kModelBytes);
+  engines_["e1"]->Lose("none");
   List();
   Run(seconds(1));
   planner_->SetLimits({{"e0", 0.1}});
@@ -704,8 +704,8 @@
     Report(ModelName(0), 0, i % 4 == 0 ? 1 : 0);
     Run(milliseconds(250));
   }
-  const int holders =
-      engines_["e1"]->Holds(ModelName(0)) + engines_["e2"]->Holds(ModelName(0));
+  const int holders = engines_["e1"]->IsLoaded(ModelName(0)) +
+                      engines_["e2"]->IsLoaded(ModelName(0));
   EXPECT_GE(holders, 1);
 }
 
--- a/tests/platform/edge_settings_test.cc
+++ b/tests/platform/edge_settings_test.cc
@@ -28,7 +28,7 @@
   EXPECT_EQ(settings->operators.ToString(), "10.0.0.1:7001");
   EXPECT_EQ(settings->node.peer_address, "10.0.0.1:7000");
   EXPECT_EQ(settings->node.placement, PlacementStyle::kFleet);
-  EXPECT_LT(settings->node.drain_bound, std::chrono::seconds(8));
+  EXPECT_LT(settings->node.max_drain, std::chrono::seconds(8));
 }
 
 // Policies are switched off by name, one by one, to measure what they are
@@ -121,10 +121,10 @@
   const auto settings = FromPlatform(fields);
   ASSERT_TRUE(settings.ok()) << settings.status().message();
   EXPECT_DOUBLE_EQ(settings->node.retry_slack, 52.5);
-  EXPECT_GT(settings->node.drain_bound, std::chrono::seconds(7));
-  EXPECT_LT(settings->node.drain_bound, std::chrono::milliseconds(8500));
+  EXPECT_GT(settings->node.max_drain, std::chrono::seconds(7));
+  EXPECT_LT(settings->node.max_drain, std::chrono::milliseconds(8500));
   EXPECT_EQ(settings->node.order_lease, std::chrono::microseconds(2999500));
-  EXPECT_EQ(settings->node.news.trust, std::chrono::milliseconds(2500));
+  EXPECT_EQ(settings->node.news.max_staleness, std::chrono::milliseconds(2500));
 }
 
 // Whatever stands in one figure, hosts start, and go by sound figures.
@@ -147,9 +147,10 @@
       const NodeSettings& node = settings->node;
       EXPECT_GT(node.cpu_share, 0) << value;
       EXPECT_GE(node.retry_slack, 0) << value;
-      EXPECT_GT(node.drain_bound, Duration{0}) << name << " " << value;
+      EXPECT_GT(node.max_drain, Duration{0}) << name << " " << value;
       EXPECT_GT(node.order_lease, Duration{0}) << name << " " << value;
-      EXPECT_GT(node.news.renewal, Duration{0}) << name << " " << value;
+      EXPECT_GT(node.news.renewal_interval, Duration{0})
+          << name << " " << value;
     }
     Json fields = PlatformFields();
     fields[table].erase(name);
--- a/tests/platform/edge_test.cc
+++ b/tests/platform/edge_test.cc
@@ -352,7 +352,8 @@
   Dispatch(handle);
   RunUntil([this] { return !server_.requests.empty(); });
   caller_->close();
-  EXPECT_TRUE(RunUntil([this] { return Find<CallerGone>() != nullptr; }));
+  EXPECT_TRUE(
+      RunUntil([this] { return Find<CallerDisconnected>() != nullptr; }));
   engines_.Cancel(CancelAttempt{handle, 1});
   EXPECT_EQ(AwaitEnd().result, AttemptResult::kBroken);
 }
@@ -374,7 +375,7 @@
   server_.answers = {kAnswer};
   const RequestHandle handle = Ask().handle;
   Dispatch(handle);
-  ingress_.Find(handle)->CallerLeft(SystemClock().Now());
+  ingress_.Find(handle)->HandleDisconnect(SystemClock().Now());
   EXPECT_EQ(AwaitEnd().result, AttemptResult::kNotSent);
   EXPECT_TRUE(server_.requests.empty());
 }
@@ -382,7 +383,7 @@
 TEST_F(EdgeTest, CancelAfterACloseIsMeasured) {
   const RequestHandle handle = Ask().handle;
   Dispatch(handle);
-  ingress_.Find(handle)->CallerLeft(SystemClock().Now());
+  ingress_.Find(handle)->HandleDisconnect(SystemClock().Now());
   engines_.Cancel(CancelAttempt{handle, 1});
   engines_.Cancel(CancelAttempt{handle, 2});
   EXPECT_EQ(cancels_after_close_, 1);
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -18,7 +18,7 @@
 using std::chrono::seconds;
 
 constexpr char kConfig[] = "keyed.op";
-constexpr NewsBudget kBudget = NewsBudget::Within(seconds(1));
+constexpr FreshnessBudget kBudget = FreshnessBudget::Within(seconds(1));
 
 // The log of the configuration, and a listing without servers.
 class ScriptedStore {
@@ -111,7 +111,7 @@
   void Take(const Event& event) {
     if (const auto* rules = std::get_if<RuleSetRead>(&event)) {
       version_ = rules->version;
-    } else if (const auto* news = std::get_if<StoreNewsRead>(&event)) {
+    } else if (const auto* news = std::get_if<StoreUpdatesRead>(&event)) {
       ++proofs_[news->topic];
     }
   }
--- a/tests/routing/crash_ledger_test.cc
+++ b/tests/routing/crash_ledger_test.cc
@@ -74,7 +74,7 @@
     ledger.Record({1, server, false, kNow}, kNow);
   }
   ledger.Record({2, "s1", false, kNow}, kNow);
-  ledger.Convict(1, kNow);
+  ledger.MarkProven(1, kNow);
   for (const char* server : {"s1", "s2", "s3"}) {
     EXPECT_EQ(ledger.Record({2, server, false, kNow}, kNow), Finding::kNothing)
         << server;
