--- a/admission/quota_ledger.h
+++ b/admission/quota_ledger.h
@@ -8,7 +8,7 @@
 #include "admission/host_presence.h"
 #include "admission/quota_types.h"
 #include "core/clock.h"
-#include "rules/team_book.h"
+#include "rules/team_registry.h"
 
 namespace applehall {
 
@@ -39,7 +39,7 @@
       : settings_(settings), presence_(settings.expected_hosts) {}
 
   // Sets the teams in force. Not thread-safe.
-  void SetTeams(std::shared_ptr<const TeamBook> teams, TimePoint now);
+  void SetTeams(std::shared_ptr<const TeamRegistry> teams, TimePoint now);
   // Applies a host's cumulative usage; counts of another incarnation start at
   // zero. Not thread-safe.
   void ApplyUsage(const std::string& host, const std::string& data_centre,
@@ -86,7 +86,7 @@
 
   Settings settings_;
   QuotaParts parts_;
-  std::shared_ptr<const TeamBook> teams_;
+  std::shared_ptr<const TeamRegistry> teams_;
   std::map<std::string, Host> hosts_;
   std::map<std::string, QuotaBucket> buckets_;
   HostPresence presence_;
--- a/main/operator_commands.cc
+++ b/main/operator_commands.cc
@@ -125,12 +125,12 @@
   }
 }
 
-CommandExit ReportPublish(const PublishOutcome& outcome, const RuleBook& rules,
-                          OutputFormat format) {
-  const bool is_accepted = outcome.result == RuleBook::Result::kAccepted;
+CommandExit ReportPublish(const PublishOutcome& outcome,
+                          const RuleRegistry& rules, OutputFormat format) {
+  const bool is_accepted = outcome.result == RuleRegistry::Result::kAccepted;
   const auto current = rules.current();
   const std::string author = current ? current->set.author : "";
-  const std::string why = outcome.result == RuleBook::Result::kStaleBase
+  const std::string why = outcome.result == RuleRegistry::Result::kStaleBase
                               ? "another rule set was published first"
                               : "the rule set is invalid";
   if (format == OutputFormat::kJson) {
@@ -280,7 +280,7 @@
   const SystemFacts system = SystemFromJson(*json);
   Json skipped = Json::array();
   for (const Rule& rule : loaded->parsed.set.rules) {
-    const std::string why = rule.when.Mismatch(facts, system);
+    const std::string why = rule.when.MismatchReason(facts, system);
     if (!why.empty()) {
       skipped.push_back({{"rule", rule.name}, {"why_not", why}});
       continue;
@@ -320,8 +320,8 @@
   if (!fold.ok()) return FailWithStatus(fold.status());
   const auto current = fold->rules().current();
   if (fold->rules().version() != base) {
-    return ReportPublish({RuleBook::Result::kStaleBase, 0, 0}, fold->rules(),
-                         format);
+    return ReportPublish({RuleRegistry::Result::kStaleBase, 0, 0},
+                         fold->rules(), format);
   }
   // The log gets a delta if that is smaller than the whole document.
   Json body{{"document", loaded->document}};
--- a/node/control_fold.cc
+++ b/node/control_fold.cc
@@ -101,7 +101,7 @@
 void ControlFold::ApplyRecord(const LogRecord& record, const Json& body) {
   const std::string type = FieldOr<std::string>(body, "type", "");
   if (type == kPublish) {
-    const RuleBook::Result result = rules_.Publish(record.offset, body);
+    const RuleRegistry::Result result = rules_.Publish(record.offset, body);
     RecordOutcome(FieldOr<std::string>(body, "id", ""),
                   {result, record.offset, rules_.version()});
   } else if (type == kClaimGroup) {
--- a/node/control_fold.h
+++ b/node/control_fold.h
@@ -12,7 +12,7 @@
 #include "placement/ownership_table.h"
 #include "routing/crash_ledger.h"
 #include "routing/quarantine.h"
-#include "rules/rule_book.h"
+#include "rules/rule_registry.h"
 
 namespace applehall {
 
@@ -33,7 +33,7 @@
 
 // The result of one publication of rules.
 struct PublishOutcome {
-  RuleBook::Result result = RuleBook::Result::kStaleBase;
+  RuleRegistry::Result result = RuleRegistry::Result::kStaleBase;
   LogOffset offset = 0;
   // The version in force after the record was applied.
   LogOffset version_after = 0;
@@ -71,7 +71,7 @@
   LogOffset next_offset() const { return next_offset_; }
   // False while compare-and-set records are buffered for want of a snapshot.
   bool has_base() const { return has_base_; }
-  const RuleBook& rules() const { return rules_; }
+  const RuleRegistry& rules() const { return rules_; }
   const OwnershipTable& ownership() const { return ownership_; }
   // Poison messages: contents of requests that end servers. Empty where the
   // platform's store keeps the quarantine.
@@ -92,7 +92,7 @@
   void KeepRecent(const LogRecord& record);
   void RecordOutcome(const std::string& id, const PublishOutcome& outcome);
 
-  RuleBook rules_;
+  RuleRegistry rules_;
   void ApplyServerEnd(const LogRecord& record, const Json& body);
 
   OwnershipTable ownership_;
--- a/node/limit_manager.cc
+++ b/node/limit_manager.cc
@@ -175,7 +175,7 @@
             {kRequests, std::exchange(unsent_, Json::array())}};
   context_.Emit(SendPeer{owner_.host,
                          owner_.address,
-                         {PeerMessageType::kPermitAsk, std::move(body)}});
+                         {PeerMessageType::kPermitRequest, std::move(body)}});
 }
 
 void LimitManager::HandlePermitRequests(const std::string& host,
--- a/node/messages.h
+++ b/node/messages.h
@@ -21,7 +21,7 @@
 #include "placement/engine_types.h"
 #include "rules/rule.h"
 #include "rules/rule_checker.h"
-#include "rules/team_book.h"
+#include "rules/team_registry.h"
 
 namespace applehall {
 
@@ -151,7 +151,7 @@
   LogOffset version = 0;
   Json document;
   // The teams of the same version; null if none are configured.
-  std::shared_ptr<const TeamBook> teams = nullptr;
+  std::shared_ptr<const TeamRegistry> teams = nullptr;
 };
 
 // The platform's listing of backend servers changed or was read completely.
--- a/node/node.cc
+++ b/node/node.cc
@@ -123,7 +123,8 @@
   const absl::Status status =
       context_.control.InstallRules(event.version, event.document);
   if (status.ok() && is_newer) {
-    context_.teams = event.teams ? event.teams : std::make_shared<TeamBook>();
+    context_.teams =
+        event.teams ? event.teams : std::make_shared<TeamRegistry>();
   }
   if (!status.ok()) {
     context_.metrics.Count("rule_sets_rejected_total");
@@ -246,17 +247,17 @@
     case PeerMessageType::kStoreFollow:
       relay_.HandleFollow(event.host, body);
       return;
-    case PeerMessageType::kStoreNews:
+    case PeerMessageType::kStoreUpdates:
       relay_.HandleRelayedUpdates(event.host, body);
       fleet_.RecordOwner(StoreRelay::ParseOwner(body));
       return;
     case PeerMessageType::kQuotaUsage:
       quotas_.HandleCentreUsage(event.host, body);
       return;
-    case PeerMessageType::kQuotaWord:
+    case PeerMessageType::kQuotaShareUpdate:
       quotas_.HandleCentreShares(body);
       return;
-    case PeerMessageType::kPermitAsk:
+    case PeerMessageType::kPermitRequest:
       limits_.HandlePermitRequests(event.host, body);
       return;
     case PeerMessageType::kPermitAnswer:
--- a/node/quota_manager.cc
+++ b/node/quota_manager.cc
@@ -145,8 +145,8 @@
   }
 }
 
-QuotaShares QuotaManager::ComputeShares(QuotaLedger& ledger,
-                                        std::shared_ptr<const TeamBook> teams) {
+QuotaShares QuotaManager::ComputeShares(
+    QuotaLedger& ledger, std::shared_ptr<const TeamRegistry> teams) {
   ledger.SetTeams(std::move(teams), context_.now);
   ledger.ApplyUsage(context_.settings.self.host, context_.settings.data_centre,
                     context_.settings.self.number, gate_.Usage(context_.now),
@@ -202,8 +202,8 @@
 }
 
 // Returns the teams with their quotas reduced to this data centre's part.
-std::shared_ptr<const TeamBook> QuotaManager::CentreTeams() const {
-  auto teams = std::make_shared<TeamBook>();
+std::shared_ptr<const TeamRegistry> QuotaManager::CentreTeams() const {
+  auto teams = std::make_shared<TeamRegistry>();
   for (const auto& [name, whole] : context_.teams->teams()) {
     Team team = whole;
     const auto part = centre_parts_.find(name);
@@ -234,7 +234,7 @@
   context_.Emit(SendPeer{
       host,
       FieldOr<std::string>(body, kAddress, ""),
-      {PeerMessageType::kQuotaWord,
+      {PeerMessageType::kQuotaShareUpdate,
        Json{{kTeams,
              SharesToJson(has_owner_shares ? shares_ : centre_shares_)}}}});
 }
--- a/node/quota_manager.h
+++ b/node/quota_manager.h
@@ -74,11 +74,11 @@
   bool HasQuotas() const;
   // Returns the shares of all hosts that report to `ledger`, including this.
   QuotaShares ComputeShares(QuotaLedger& ledger,
-                            std::shared_ptr<const TeamBook> teams);
+                            std::shared_ptr<const TeamRegistry> teams);
   void RunOwner();
   void RunWithoutOwner(const PeerAddress& reader);
   void RunCentreLedger();
-  std::shared_ptr<const TeamBook> CentreTeams() const;
+  std::shared_ptr<const TeamRegistry> CentreTeams() const;
   void LogThrottled(const QuotaShares& shares) const;
 
   NodeContext& context_;
--- a/node/store_relay.cc
+++ b/node/store_relay.cc
@@ -191,8 +191,9 @@
         Json::array({owner_.peer.host, owner_.peer.address, owner_.token});
   }
   if (updates != nullptr) AddRecords(*updates, follower, body);
-  context_.Emit(SendPeer{
-      host, follower.address, {PeerMessageType::kStoreNews, std::move(body)}});
+  context_.Emit(SendPeer{host,
+                         follower.address,
+                         {PeerMessageType::kStoreUpdates, std::move(body)}});
 }
 
 void StoreRelay::AddRecords(const RetainedUpdates& entry, Follower& follower,
--- a/node/store_relay.h
+++ b/node/store_relay.h
@@ -39,16 +39,16 @@
   // Sets the holder of the placement lease, which is relayed with the updates.
   // Not thread-safe.
   void SetOwner(const KnownOwner& owner) { owner_ = owner; }
-  // Returns the lease holder that is named in `body`, a kStoreNews message; an
-  // empty one if there is none. Thread-safe.
+  // Returns the lease holder that is named in `body`, a kStoreUpdates message;
+  // an empty one if there is none. Thread-safe.
   static KnownOwner ParseOwner(const Json& body);
   // Handles updates that this host read, or applied after its reader relayed
   // them: relays them to its followers. Not thread-safe.
   void HandleStoreUpdates(const StoreUpdatesRead& updates);
   // Handles a kStoreFollow message of a follower. Not thread-safe.
   void HandleFollow(const std::string& host, const Json& body);
-  // Handles a kStoreNews message; ignores those of hosts other than the reader
-  // and the backup. Not thread-safe.
+  // Handles a kStoreUpdates message; ignores those of hosts other than the
+  // reader and the backup. Not thread-safe.
   void HandleRelayedUpdates(const std::string& host, const Json& body);
   // Removes followers without contact, sends due heartbeats and switches
   // between own reads and relayed updates. Not thread-safe.
--- a/rules/rule.cc
+++ b/rules/rule.cc
@@ -42,7 +42,7 @@
   return true;
 }
 
-// An absent condition covers any; a present one covers only its equal.
+// An absent condition covers any other; a present one covers only an equal one.
 template <typename T>
 bool OptionalCovers(const std::optional<T>& wide,
                     const std::optional<T>& narrow) {
@@ -60,8 +60,8 @@
   return local >= from || local < to;
 }
 
-std::string RuleCondition::Mismatch(const RequestFacts& request,
-                                    const SystemFacts& system) const {
+std::string RuleCondition::MismatchReason(const RequestFacts& request,
+                                          const SystemFacts& system) const {
   if (!AnyMatches(callers, request.caller)) return "caller differs";
   if (!AnyMatches(methods, request.method)) return "method differs";
   if (!AnyMatches(paths, request.path)) return "path differs";
@@ -93,7 +93,7 @@
 
 bool RuleCondition::Matches(const RequestFacts& request,
                             const SystemFacts& system) const {
-  return Mismatch(request, system).empty();
+  return MismatchReason(request, system).empty();
 }
 
 bool RuleCondition::Covers(const RuleCondition& other) const {
--- a/rules/rule_checker.cc
+++ b/rules/rule_checker.cc
@@ -38,7 +38,7 @@
     std::set<std::string> names;
     for (const Rule& rule : set_.rules) {
       if (rule.name.find('/') != std::string::npos) {
-        Error(rule.name, "a name may not hold '/'");
+        Error(rule.name, "a name must not contain '/'");
       }
       if (!names.insert(rule.name).second) {
         Error(rule.name, "the name is used by an earlier rule");
@@ -61,7 +61,7 @@
         Error(
             set_.rules[later].name,
             absl::StrCat("can never decide: rule \"", set_.rules[earlier].name,
-                         "\" before it matches all it would"));
+                         "\" before it covers its condition"));
         break;
       }
     }
@@ -92,20 +92,20 @@
     }
   }
 
-  // Replicas that must always stay have to fit together.
+  // The minimum replicas of all rules must fit into memory together.
   void CheckWarmMemory() {
-    if (facts_.all_engine_bytes == 0) return;
+    if (facts_.total_engine_bytes == 0) return;
     uint64_t needed = 0;
     for (const Rule& rule : set_.rules) {
       for (const std::string& name : rule.then.models) {
         const auto it = catalogue_.find(name);
         if (it == catalogue_.end()) continue;
-        needed += it->second->bytes * rule.then.least_replicas;
+        needed += it->second->bytes * rule.then.min_replicas;
       }
-      if (needed <= facts_.all_engine_bytes) continue;
-      Error(rule.name,
-            absl::StrCat("least_replicas up to here need ", needed,
-                         " bytes, the engines have ", facts_.all_engine_bytes));
+      if (needed <= facts_.total_engine_bytes) continue;
+      Error(rule.name, absl::StrCat("least_replicas up to here need ", needed,
+                                    " bytes, the engines have ",
+                                    facts_.total_engine_bytes));
       return;
     }
   }
--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -847,11 +847,11 @@
   for (const auto& [name, count] : replicas) {
     if (count <= 1 && newest_version_ > 0) continue;
     const std::string model = name.substr(name.find('/') + 1);
-    int allowed = newest_bounds_.For(model).most;
+    int allowed = newest_bounds_.FindBounds(model).most;
     for (const CatalogueEntry& entry : settings_.catalogue) {
       // A base model may be loaded for its adapters.
       if (entry.base != model) continue;
-      allowed = std::max(allowed, newest_bounds_.For(entry.name).most);
+      allowed = std::max(allowed, newest_bounds_.FindBounds(entry.name).most);
     }
     if (count > allowed) {
       Report(absl::StrCat("too many replicas: ", count, " of ", name));
--- a/tests/node/fleet_test.cc
+++ b/tests/node/fleet_test.cc
@@ -145,7 +145,7 @@
                                .as_of = now_ - seconds(2)});
   ASSERT_EQ(pending_.size(), 1u);
   const auto& relayed = std::get<PeerMessageReceived>(pending_[0].second);
-  ASSERT_EQ(relayed.message.type, PeerMessageType::kStoreNews);
+  ASSERT_EQ(relayed.message.type, PeerMessageType::kStoreUpdates);
   EXPECT_GE(relayed.message.body["known"]["servers"][1].get<int64_t>(),
             1'900'000);
 }
--- a/tests/node/node_failure_test.cc
+++ b/tests/node/node_failure_test.cc
@@ -429,7 +429,7 @@
   const auto& outcomes =
       deployment_->node("entry-1").context().control.outcomes();
   if (outcomes.contains(second)) {
-    EXPECT_EQ(outcomes.at(second).result, RuleBook::Result::kStaleBase);
+    EXPECT_EQ(outcomes.at(second).result, RuleRegistry::Result::kStaleBase);
   }
 }
 
--- a/tests/node/store_relay_test.cc
+++ b/tests/node/store_relay_test.cc
@@ -136,7 +136,7 @@
   std::deque<Message> link_;
   Duration delay_{0};
   bool is_link_cut_ = false;
-  Json last_relayed_;  // The last kStoreNews message that was delivered.
+  Json last_relayed_;  // The last kStoreUpdates message that was delivered.
   size_t relayed_records_ = 0;
   // Copies delivered of the records up to each offset.
   std::map<LogOffset, int> copies_;
--- a/tests/node/update_fleet.h
+++ b/tests/node/update_fleet.h
@@ -303,7 +303,7 @@
     RunOn(to, [&](Host& h) {
       if (message.type == PeerMessageType::kStoreFollow) {
         h.relay.HandleFollow(from, message.body);
-      } else if (message.type == PeerMessageType::kStoreNews) {
+      } else if (message.type == PeerMessageType::kStoreUpdates) {
         h.relay.HandleRelayedUpdates(from, message.body);
       }
     });
--- a/tests/platform/edge_test.cc
+++ b/tests/platform/edge_test.cc
@@ -160,7 +160,7 @@
   const RequestArrived& request = SendRequest(
       "Authorization: Token secret-key\r\nx-TENANT: other\r\n"
       "X-Tenant: third\r\nConnection: X-Tenant\r\n");
-  EXPECT_EQ(request.api_key, ApiKeyDigest::Of("secret-key"));
+  EXPECT_EQ(request.api_key, ApiKeyDigest::FromKey("secret-key"));
   EXPECT_FALSE(request.facts.headers.contains("authorization"));
   team_ = "studs";
   Dispatch(request.handle);
@@ -198,7 +198,7 @@
     events_.clear();
   }
   EXPECT_EQ(SendRequest("Authorization: token ok\r\n").api_key,
-            ApiKeyDigest::Of("ok"));
+            ApiKeyDigest::FromKey("ok"));
 }
 
 TEST_F(EdgeTest, DeclaredTokensAreSummedUnlessMalformed) {
--- a/trial/trial_load.cc
+++ b/trial/trial_load.cc
@@ -273,7 +273,7 @@
   int over = 0;
   for (const auto& [name, count] : truth["most_replicas"].items()) {
     const std::string model = name.substr(name.find('/') + 1);
-    over += count.get<int>() > bounds.For(model).most;
+    over += count.get<int>() > bounds.FindBounds(model).most;
   }
   return over;
 }
