--- a/admission/permit_gate.cc
+++ b/admission/permit_gate.cc
@@ -50,6 +50,6 @@
   return draw < chance;
 }
 
-void PermitGate::Forget(const std::string& server) { servers_.erase(server); }
+void PermitGate::Remove(const std::string& server) { servers_.erase(server); }
 
 }  // namespace applehall
--- a/admission/permit_gate.h
+++ b/admission/permit_gate.h
@@ -26,7 +26,7 @@
   bool TrySendIsolated(const std::string& server, double per_second, int hosts,
                        double draw, TimePoint now);
   // Removes a server that is gone or no longer limited.
-  void Forget(const std::string& server);
+  void Remove(const std::string& server);
 
  private:
   struct Server {
--- a/admission/permit_ledger.cc
+++ b/admission/permit_ledger.cc
@@ -48,13 +48,14 @@
   servers_.erase(it);
 }
 
-void PermitLedger::NoteHost(const std::string& host, TimePoint now) {
+void PermitLedger::RecordHostContact(const std::string& host, TimePoint now) {
   presence_.Start(now);
   presence_.RecordContact(host, now);
 }
 
-void PermitLedger::Ask(const HostPermitRequest& request, TimePoint now) {
-  NoteHost(request.host, now);
+void PermitLedger::RequestPermit(const HostPermitRequest& request,
+                                 TimePoint now) {
+  RecordHostContact(request.host, now);
   const auto it = servers_.find(request.server);
   if (it == servers_.end()) {
     // The limit was lifted and the host has not received the update yet.
@@ -64,11 +65,11 @@
   }
   Server& server = it->second;
   const RequestHandle handle = ++last_handle_;
-  server.requests[handle] = {request, now, now + request.patience};
+  server.requests[handle] = {request, now, now + request.max_wait};
   WaitingRequest waiting;
   waiting.handle = handle;
   waiting.caller = request.caller;
-  waiting.deadline = now + request.patience;
+  waiting.deadline = now + request.max_wait;
   waiting.worth = request.worth;
   waiting.is_background = request.is_background;
   const std::optional<RequestHandle> displaced =
--- a/admission/permit_ledger.h
+++ b/admission/permit_ledger.h
@@ -33,7 +33,7 @@
   std::string caller;  // Counted in this caller's fair share.
   double worth = 1;
   bool is_background = false;
-  Duration patience{0};  // Maximum wait; zero: refused unless granted at once.
+  Duration max_wait{0};  // Maximum wait; zero: refused unless granted at once.
 };
 
 struct PermitAnswer {
@@ -61,10 +61,10 @@
   void SetLimit(const std::string& server, double per_second, TimePoint now);
   void Lift(const std::string& server, TimePoint now);
   // Records contact of a host, which therefore does not use its own part.
-  void NoteHost(const std::string& host, TimePoint now);
+  void RecordHostContact(const std::string& host, TimePoint now);
   // Requests a permit, answered at once or by a later Serve(); see
   // TakeAnswers().
-  void Ask(const HostPermitRequest& request, TimePoint now);
+  void RequestPermit(const HostPermitRequest& request, TimePoint now);
   // Grants available permits and refuses requests that can no longer be served
   // in time.
   void Serve(TimePoint now);
--- a/admission/quota_gate.cc
+++ b/admission/quota_gate.cc
@@ -96,8 +96,8 @@
   state.bucket.Fill(quota, tolerance_, state.part, now);
 }
 
-QuotaDecision QuotaGate::Ask(const Team& team, double cost, double draw,
-                             TimePoint now) {
+QuotaDecision QuotaGate::Decide(const Team& team, double cost, double draw,
+                                TimePoint now) {
   if (!team.quota.is_limited()) return {};
   TeamState& state = teams_[team.name];
   state.recent.Add(cost, kRecentSpan, now);
--- a/admission/quota_gate.h
+++ b/admission/quota_gate.h
@@ -70,7 +70,8 @@
   bool HasFreshShares(TimePoint now) const;
   // Decides on a request of the given cost; `draw` is uniform from 0 to 1. Not
   // thread-safe.
-  QuotaDecision Ask(const Team& team, double cost, double draw, TimePoint now);
+  QuotaDecision Decide(const Team& team, double cost, double draw,
+                       TimePoint now);
   // Returns the tokens of an admitted request that has not run and never will.
   // Not thread-safe.
   void GiveBack(const std::string& team, double cost);
--- a/benchmarks/decision_benchmark.cc
+++ b/benchmarks/decision_benchmark.cc
@@ -267,13 +267,13 @@
       replica.last_used = kNow;
       inventory.replicas.push_back(replica);
     }
-    owner.TakeInventory(inventory, kNow, kNow);
+    owner.HandleInventory(inventory, kNow, kNow);
   }
   for (int64_t i = 0; i < state.range(0); ++i) {
     for (int64_t k = 1; k < 6; ++k) {
-      owner.TakeDemand({Name("model-", i), "entry-2", 1, 1.0,
-                        std::chrono::seconds(9), false},
-                       kNow - std::chrono::minutes(10 * k));
+      owner.HandleDemand({Name("model-", i), "entry-2", 1, 1.0,
+                          std::chrono::seconds(9), false},
+                         kNow - std::chrono::minutes(10 * k));
     }
   }
   state.counters["bytes"] = static_cast<double>(HeapBytes() - before);
@@ -333,7 +333,7 @@
   TimePoint now = kNow;
   planner.SetServers(list, now);
   for (const Inventory& inventory : inventories) {
-    planner.TakeInventory(inventory, now, now);
+    planner.HandleInventory(inventory, now, now);
   }
   HostReport report;
   report.host = "host";
@@ -345,8 +345,8 @@
   int64_t next = 0;
   for (auto _ : state) {
     now += std::chrono::milliseconds(7);
-    if (next % 300 == 0) planner.TakeReport(report, now);
-    planner.TakeInventory(inventories[next++ % engines], now, now);
+    if (next % 300 == 0) planner.HandleReport(report, now);
+    planner.HandleInventory(inventories[next++ % engines], now, now);
     orders.clear();
     planner.Decide(/*may_order=*/true, now, orders);
   }
--- a/drivers/backend_client.cc
+++ b/drivers/backend_client.cc
@@ -264,10 +264,10 @@
 }
 
 asio::awaitable<void> BackendClient::RunOrder(SendOrder action) {
-  const TimePoint asked_at = clock_.Now();
+  const TimePoint requested_at = clock_.Now();
   // Guards against a process that was paused between decision and sending:
   // another host may have taken over ownership meanwhile.
-  if (asked_at > action.order.send_by) co_return;
+  if (requested_at > action.order.send_by) co_return;
   HttpCall call;
   const absl::StatusOr<Address> address = ParseAddress(action.address);
   if (!address.ok()) co_return;
@@ -284,7 +284,7 @@
   if (!body.ok() || !body->is_object()) co_return;
   InventoryReceived answered;
   answered.inventory = Inventory::FromJson(*body, clock_.Now());
-  answered.asked_at = asked_at;
+  answered.requested_at = requested_at;
   const Event event = std::move(answered);
   co_await Deliver(event);
 }
--- a/node/fleet_manager.cc
+++ b/node/fleet_manager.cc
@@ -152,8 +152,8 @@
   departing_.erase(id);
   announced_.erase(id);
   planned_states_.erase(id);
-  context_.view.Forget(id);
-  limits_.Forget(id);
+  context_.view.Remove(id);
+  limits_.Remove(id);
   LogEvent(LogLevel::kInfo, "server_gone").With("server", id);
 }
 
@@ -191,15 +191,16 @@
   planner_->SetCatalogue(&context_.catalogue, &context_.engine_classes);
 }
 
-void FleetManager::TakeInventory(const Inventory& inventory,
-                                 TimePoint asked_at) {
-  if (planner_) planner_->TakeInventory(inventory, asked_at, context_.now);
+void FleetManager::HandleInventory(const Inventory& inventory,
+                                   TimePoint requested_at) {
+  if (planner_)
+    planner_->HandleInventory(inventory, requested_at, context_.now);
 }
 
-void FleetManager::TakeOrderResult(const OrderAnswered& event) {
+void FleetManager::HandleOrderResult(const OrderAnswered& event) {
   if (!planner_) return;
-  planner_->TakeOrderResult(event.engine, event.order_id, event.result,
-                            context_.now);
+  planner_->HandleOrderResult(event.engine, event.order_id, event.result,
+                              context_.now);
   if (planner_->is_superseded()) lease_.RequireReread();
 }
 
@@ -212,7 +213,7 @@
   if (change == PlacementLease::Change::kGained) StartPlanning();
 }
 
-void FleetManager::TakeAppendEnd(const LeaseAppendEnded&) {
+void FleetManager::HandleAppendEnd(const LeaseAppendEnded&) {
   lease_.HandleAppendEnded();
 }
 
@@ -370,15 +371,15 @@
     peer.is_urgent = true;
   }
   if (body.contains(kEndRows)) {
-    quarantine_.TakeReport(host, body[kEndRows]);
+    quarantine_.HandleReport(host, body[kEndRows]);
     peer.is_urgent = true;  // The host retransmits the rows until acknowledged.
   }
   if (body.contains(kQuotaRows)) {
-    quotas_.TakeReport(host, peer.data_centre, body[kQuotaRows]);
+    quotas_.HandleReport(host, peer.data_centre, body[kQuotaRows]);
   }
   limits_.RecordHostContact(host);
   if (body.contains(kLimitRows)) {
-    limits_.TakeReport(host, body[kLimitRows], servers_);
+    limits_.HandleReport(host, body[kLimitRows], servers_);
   }
   const HostReport report = HostReport::FromJson(host, body);
   bool is_new = false;
@@ -389,7 +390,7 @@
   }
   peer.waiting = std::move(waiting);
   peer.is_urgent = peer.is_urgent || is_new;
-  planner_->TakeReport(report, context_.now);
+  planner_->HandleReport(report, context_.now);
   if (is_new && context_.now - planned_at_ >= kUrgentInterval) {
     planned_at_ = context_.now;
     Plan();
@@ -515,8 +516,8 @@
 
 bool FleetManager::CanReadStore() const {
   return !context_.is_draining && !context_.log_failed &&
-         context_.now - context_.news.OldestFreshness() <=
-             context_.settings.news.max_staleness;
+         context_.now - context_.freshness.OldestFreshness() <=
+             context_.settings.freshness.max_staleness;
 }
 
 // Sums the load of each engine over all hosts: a host with a request or two
@@ -614,8 +615,8 @@
       host, peer.address, {PeerMessageType::kFleetPlan, std::move(body)}});
 }
 
-std::vector<DemandAnswer> FleetManager::TakePlan(const std::string& host,
-                                                 const Json& body) {
+std::vector<DemandAnswer> FleetManager::HandlePlan(const std::string& host,
+                                                   const Json& body) {
   std::vector<DemandAnswer> answers;
   const FencingToken token = FieldOr<uint64_t>(body, "k", 0);
   if (planner_ || token < lease_.token()) return answers;
@@ -630,11 +631,11 @@
   ReadPeerAddress(body, "r", reader_);
   ReadPeerAddress(body, "b", backup_reader_);
   ApplyUpdates(body, token);
-  if (body.contains("q")) quarantine_.TakePlan(body["q"]);
+  if (body.contains("q")) quarantine_.HandlePlan(body["q"]);
   if (body.contains(kEndRows)) quarantine_.TakeAck(token, body[kEndRows]);
-  if (body.contains(kQuotaRows)) quotas_.TakePlan(body[kQuotaRows]);
+  if (body.contains(kQuotaRows)) quotas_.HandlePlan(body[kQuotaRows]);
   if (body.contains(kLimitRows)) {
-    limits_.TakePlan(body[kLimitRows], token, servers_);
+    limits_.HandlePlan(body[kLimitRows], token, servers_);
   }
   for (const Json& row : body.value("w", Json::array())) {
     // Hosts of an earlier version send rows without a reason.
@@ -699,7 +700,7 @@
   if (planner_) {
     const bool has_updates = HasNewDemand();
     if (has_updates || context_.now - reported_at_ >= kHeartbeatInterval) {
-      planner_->TakeReport(MakeReport(), context_.now);
+      planner_->HandleReport(MakeReport(), context_.now);
     }
     if (has_updates || context_.now - planned_at_ >= kPlanInterval) {
       planned_at_ = context_.now;
--- a/node/fleet_manager.h
+++ b/node/fleet_manager.h
@@ -42,14 +42,15 @@
   void HandleServerList(const ServerListRead& event);
   void HandleCatalogueChange();
   void HandleLeaseRead(const LeaseRead& event);
-  void TakeAppendEnd(const LeaseAppendEnded& event);
-  void TakeInventory(const Inventory& inventory, TimePoint asked_at);
-  void TakeOrderResult(const OrderAnswered& event);
+  void HandleAppendEnd(const LeaseAppendEnded& event);
+  void HandleInventory(const Inventory& inventory, TimePoint requested_at);
+  void HandleOrderResult(const OrderAnswered& event);
 
   // ---- Messages from other hosts. Not thread-safe. ----
   void HandleHostReport(const std::string& host, const Json& body);
   // Returns the plan's answers to this host's demands.
-  std::vector<DemandAnswer> TakePlan(const std::string& host, const Json& body);
+  std::vector<DemandAnswer> HandlePlan(const std::string& host,
+                                       const Json& body);
 
   // ---- Demand of this host's requests. Not thread-safe. ----
   void RecordArrival(const std::string& target, double worth);
--- a/node/gossip.cc
+++ b/node/gossip.cc
@@ -252,7 +252,7 @@
                 Json{{"snapshot", context_.control.Snapshot()}});
 }
 
-bool Gossip::TakeControl(const Json& body) {
+bool Gossip::HandleControl(const Json& body) {
   const LogOffset before = context_.control.next_offset();
   const bool was_based = context_.control.has_base();
   if (const auto batch = body.find("batch"); batch != body.end()) {
--- a/node/gossip.h
+++ b/node/gossip.h
@@ -36,7 +36,7 @@
   void HandleGossip(const std::string& from, const Json& body);
   // Applies control records or a snapshot; true if the control state advanced.
   // Not thread-safe.
-  bool TakeControl(const Json& body);
+  bool HandleControl(const Json& body);
 
   // Whether this host reads the control stream itself. Two hosts of a data
   // centre do; the others receive it from peers, and read it themselves if no
--- a/node/group_manager.cc
+++ b/node/group_manager.cc
@@ -345,22 +345,22 @@
   context_.view.Merge(digest, context_.now);
 }
 
-void GroupManager::TakeInventory(const Inventory& inventory,
-                                 TimePoint asked_at) {
+void GroupManager::HandleInventory(const Inventory& inventory,
+                                   TimePoint requested_at) {
   for (auto& [group, owner] : owners_) {
-    owner->TakeInventory(inventory, asked_at, context_.now);
+    owner->HandleInventory(inventory, requested_at, context_.now);
     PublishDigests(*owner);
   }
   for (auto& owner : retiring_) {
-    owner->TakeInventory(inventory, asked_at, context_.now);
+    owner->HandleInventory(inventory, requested_at, context_.now);
   }
 }
 
-std::optional<DemandAnswer> GroupManager::TakeDemand(const std::string& group,
-                                                     const Demand& demand) {
+std::optional<DemandAnswer> GroupManager::HandleDemand(const std::string& group,
+                                                       const Demand& demand) {
   const auto it = owners_.find(group);
   if (it == owners_.end()) return std::nullopt;
-  it->second->TakeDemand(demand, context_.now);
+  it->second->HandleDemand(demand, context_.now);
   return it->second->Answer(
       demand.target, Policy(), store_,
       [&](const std::string& target, int max_replicas) {
--- a/node/group_manager.h
+++ b/node/group_manager.h
@@ -30,11 +30,11 @@
   // up. Not thread-safe.
   void RunTick();
   // Applies an engine's answer to an order. Not thread-safe.
-  void TakeInventory(const Inventory& inventory, TimePoint asked_at);
+  void HandleInventory(const Inventory& inventory, TimePoint requested_at);
   // Records a demand of this or another host and returns its status; nullopt if
   // this host does not own the group. Not thread-safe.
-  std::optional<DemandAnswer> TakeDemand(const std::string& group,
-                                         const Demand& demand);
+  std::optional<DemandAnswer> HandleDemand(const std::string& group,
+                                           const Demand& demand);
   // Records a heartbeat of a group's owner. Not thread-safe.
   void HandleHeartbeat(const std::string& group, FencingToken token,
                        uint64_t heartbeat);
--- a/node/limit_manager.cc
+++ b/node/limit_manager.cc
@@ -31,7 +31,7 @@
 // ID, server, caller, worth, is background, maximum wait in ms.
 Json RequestToJson(const HostPermitRequest& request) {
   return Json::array({request.id, request.server, request.caller, request.worth,
-                      request.is_background, ToMillis(request.patience)});
+                      request.is_background, ToMillis(request.max_wait)});
 }
 
 std::optional<HostPermitRequest> ParseRequest(const Json& row) {
@@ -46,7 +46,7 @@
   request.caller = row[2].get<std::string>();
   request.worth = row[3].get<double>();
   request.is_background = row[4].get<bool>();
-  request.patience = milliseconds(std::max<int64_t>(0, row[5].get<int64_t>()));
+  request.max_wait = milliseconds(std::max<int64_t>(0, row[5].get<int64_t>()));
   return request;
 }
 
@@ -108,7 +108,7 @@
         .With("owner", is_owner_reachable_ ? owner_.host : std::string("none"));
     context_.view.Hold(server, {});
     if (!limit) {
-      gate_.Forget(server);
+      gate_.Remove(server);
       if (ledger_) ledger_->Lift(server, context_.now);
     } else if (ledger_) {
       ledger_->SetLimit(server, *limit, context_.now);
@@ -116,7 +116,7 @@
   }
 }
 
-void LimitManager::Forget(const std::string& server) {
+void LimitManager::Remove(const std::string& server) {
   registry_.Remove(server, context_.now);
   ApplyChanges();
 }
@@ -149,12 +149,12 @@
   request.caller = wanted.caller;
   request.worth = wanted.worth;
   request.is_background = wanted.is_background;
-  request.patience = wanted.max_wait;
+  request.max_wait = wanted.max_wait;
   requests_[request.id] = {wanted.handle, server, context_.now,
                            context_.now + wanted.max_wait + kPermitTtl};
   context_.metrics.Count("server_limit_asks_total");
   if (ledger_) {
-    ledger_->Ask(request, context_.now);
+    ledger_->RequestPermit(request, context_.now);
     SendAnswers();
     return Permit::kPending;
   }
@@ -186,7 +186,7 @@
     std::optional<HostPermitRequest> request = ParseRequest(row);
     if (!request) continue;
     request->host = host;
-    ledger_->Ask(*request, context_.now);
+    ledger_->RequestPermit(*request, context_.now);
   }
   SendAnswers();
 }
@@ -279,7 +279,7 @@
   if (is_owner_reachable_ || ledger_) known_hosts_ = context_.entry_host_count;
   if (registry_.empty() && requests_.empty()) return;
   if (ledger_) {
-    ledger_->NoteHost(context_.settings.self.host, context_.now);
+    ledger_->RecordHostContact(context_.settings.self.host, context_.now);
     ledger_->Serve(context_.now);
     SendAnswers();
   } else {
@@ -295,20 +295,20 @@
 }
 
 void LimitManager::RecordHostContact(const std::string& host) {
-  if (ledger_) ledger_->NoteHost(host, context_.now);
+  if (ledger_) ledger_->RecordHostContact(host, context_.now);
 }
 
-void LimitManager::TakeReport(const std::string& host, const Json& rows,
-                              const EngineList& servers) {
+void LimitManager::HandleReport(const std::string& host, const Json& rows,
+                                const EngineList& servers) {
   if (!ledger_) return;
   LogEvent(LogLevel::kDebug, "server_limits_reported").With("by", host);
-  registry_.TakeReport(rows, servers, context_.now);
+  registry_.HandleReport(rows, servers, context_.now);
   ApplyChanges();
 }
 
-void LimitManager::TakePlan(const Json& rows, FencingToken token,
-                            const EngineList& servers) {
-  registry_.TakePlan(rows, token, servers, context_.now);
+void LimitManager::HandlePlan(const Json& rows, FencingToken token,
+                              const EngineList& servers) {
+  registry_.HandlePlan(rows, token, servers, context_.now);
   ApplyChanges();
 }
 
--- a/node/limit_manager.h
+++ b/node/limit_manager.h
@@ -62,7 +62,7 @@
   // Describes the limit of `server` for a log line or a refusal.
   std::string Describe(const std::string& server) const;
   // Removes the limit of a server that left or restarted.
-  void Forget(const std::string& server);
+  void Remove(const std::string& server);
 
   // ---- Messages between hosts. Not thread-safe. ----
   void StartPlanning(uint64_t& last_update);
@@ -72,16 +72,16 @@
   void RunTick(const PeerAddress& owner, FencingToken token, bool is_reachable);
   bool HasNewRows() const { return registry_.HasNewRows(); }
   Json ReportRows(FencingToken token, const EngineList& servers);
-  void TakeReport(const std::string& host, const Json& rows,
-                  const EngineList& servers);
+  void HandleReport(const std::string& host, const Json& rows,
+                    const EngineList& servers);
   // Records a report of another host, at the owner.
   void RecordHostContact(const std::string& host);
   void NumberRows(uint64_t& last_update) { registry_.NumberRows(last_update); }
   Json PlanRows(uint64_t since, const EngineList& servers) const {
     return registry_.PlanRows(since, servers, context_.now);
   }
-  void TakePlan(const Json& rows, FencingToken token,
-                const EngineList& servers);
+  void HandlePlan(const Json& rows, FencingToken token,
+                  const EngineList& servers);
   // Permit requests of a host arrive at the owner, and its answers at the host.
   void HandlePermitRequests(const std::string& host, const Json& body);
   void HandlePermitAnswers(const Json& body);
--- a/node/limit_registry.cc
+++ b/node/limit_registry.cc
@@ -168,8 +168,8 @@
   return rows;
 }
 
-void LimitRegistry::TakeReport(const Json& rows, const EngineList& servers,
-                               TimePoint now) {
+void LimitRegistry::HandleReport(const Json& rows, const EngineList& servers,
+                                 TimePoint now) {
   if (!rows.is_array()) return;
   for (const Json& json : rows) {
     const std::optional<Row> row = ParseRow(json);
@@ -224,8 +224,8 @@
   return rows;
 }
 
-void LimitRegistry::TakePlan(const Json& rows, FencingToken token,
-                             const EngineList& servers, TimePoint now) {
+void LimitRegistry::HandlePlan(const Json& rows, FencingToken token,
+                               const EngineList& servers, TimePoint now) {
   if (!rows.is_array()) return;
   for (const Json& json : rows) {
     const std::optional<Row> row = ParseRow(json);
--- a/node/limit_registry.h
+++ b/node/limit_registry.h
@@ -53,7 +53,7 @@
   // True if a row must not wait for the next regular report.
   bool HasNewRows() const;
   // Applies the rows of a host's report, at the owner.
-  void TakeReport(const Json& rows, const EngineList& servers, TimePoint now);
+  void HandleReport(const Json& rows, const EngineList& servers, TimePoint now);
   // Assigns the next update numbers of the owner to the limits that changed
   // since the last call. `last_update` is the last number assigned.
   void NumberRows(uint64_t& last_update);
@@ -63,8 +63,8 @@
   // Returns the rows of a plan with the updates after `since`.
   Json PlanRows(uint64_t since, const EngineList& servers, TimePoint now) const;
   // Applies the rows of a plan of the owner under `token`.
-  void TakePlan(const Json& rows, FencingToken token, const EngineList& servers,
-                TimePoint now);
+  void HandlePlan(const Json& rows, FencingToken token,
+                  const EngineList& servers, TimePoint now);
 
   Json ToJson(TimePoint now) const;
 
--- a/node/messages.h
+++ b/node/messages.h
@@ -114,7 +114,7 @@
 // An engine returned its inventory in response to an order.
 struct InventoryReceived {
   Inventory inventory;
-  TimePoint asked_at;  // When the order was sent.
+  TimePoint requested_at;  // When the order was sent.
 };
 
 // A read of a log stream returned a batch of records.
@@ -187,7 +187,7 @@
   FencingToken token = 0;             // Of the record.
   LogOffset end = 0;  // Offset at which the next lease record must be appended.
   // When the read was sent; the record was the newest then or later.
-  TimePoint asked_at;
+  TimePoint requested_at;
 };
 
 // Result of AppendLease. `is_appended` is also false if there was no answer;
@@ -326,7 +326,7 @@
 
 // Reads the newest record of the placement lease.
 struct ReadLease {
-  TimePoint asked_at;  // Copied into the result.
+  TimePoint requested_at;  // Copied into the result.
 };
 
 // Appends a record of the lease on condition that its offset is `end`.
--- a/node/node.cc
+++ b/node/node.cc
@@ -85,10 +85,10 @@
 
 void Node::HandleEvent(const InventoryReceived& event) {
   if (IsFleet()) {
-    fleet_.TakeInventory(event.inventory, event.asked_at);
+    fleet_.HandleInventory(event.inventory, event.requested_at);
     return;
   }
-  groups_.TakeInventory(event.inventory, event.asked_at);
+  groups_.HandleInventory(event.inventory, event.requested_at);
   flow_.PumpAll();
 }
 
@@ -162,7 +162,7 @@
       gone.push_back(digest->engine);
     }
   }
-  for (const std::string& engine : gone) context_.view.Forget(engine);
+  for (const std::string& engine : gone) context_.view.Remove(engine);
   UpdateServices();
   groups_.Reconcile();
 }
@@ -214,12 +214,12 @@
       flow_.PumpAll();
       return;
     case PeerMessageType::kControl:
-      if (gossip_.TakeControl(body)) ApplyControlChange();
+      if (gossip_.HandleControl(body)) ApplyControlChange();
       return;
     case PeerMessageType::kDemand: {
       const auto answer =
-          groups_.TakeDemand(FieldOr<std::string>(body, "group", ""),
-                             ParseDemand(event.host, body));
+          groups_.HandleDemand(FieldOr<std::string>(body, "group", ""),
+                               ParseDemand(event.host, body));
       if (answer) {
         context_.Send(event.host, PeerMessageType::kDemandAnswer,
                       DemandAnswerJson(*answer));
@@ -239,7 +239,7 @@
       fleet_.HandleHostReport(event.host, body);
       return;
     case PeerMessageType::kFleetPlan:
-      for (const DemandAnswer& answer : fleet_.TakePlan(event.host, body)) {
+      for (const DemandAnswer& answer : fleet_.HandlePlan(event.host, body)) {
         flow_.HandleDemandAnswer(answer);
       }
       flow_.PumpAll();
@@ -310,7 +310,7 @@
         .With("teams", context_.teams->teams().size());
   }
   if (IsFleet()) return;
-  quarantine_.TakeControl();
+  quarantine_.HandleControl();
   groups_.Reconcile();
 }
 
--- a/node/node.h
+++ b/node/node.h
@@ -67,7 +67,7 @@
   void HandleEvent(const AttemptEnded& event) {
     flow_.HandleAttemptEnded(event);
   }
-  void HandleEvent(const ServerProbed& event) { flow_.TakeProbe(event); }
+  void HandleEvent(const ServerProbed& event) { flow_.HandleProbe(event); }
   void HandleEvent(const InventoryReceived& event);
   void HandleEvent(const LogBatchRead& event);
   void HandleEvent(const LogUnavailable& event);
@@ -83,17 +83,19 @@
   void HandleEvent(const StoreReached& event);
   void HandleEvent(const LeaseRead& event) { fleet_.HandleLeaseRead(event); }
   void HandleEvent(const LeaseAppendEnded& event) {
-    fleet_.TakeAppendEnd(event);
+    fleet_.HandleAppendEnd(event);
   }
   void HandleEvent(const OrderAnswered& event) {
-    fleet_.TakeOrderResult(event);
+    fleet_.HandleOrderResult(event);
   }
   void HandleEvent(const StoreUpdatesRead& event) {
     relay_.HandleStoreUpdates(event);
   }
-  void HandleEvent(const QuarantineRead& event) { quarantine_.TakeRead(event); }
+  void HandleEvent(const QuarantineRead& event) {
+    quarantine_.HandleRead(event);
+  }
   void HandleEvent(const QuarantineAppendEnded& event) {
-    quarantine_.TakeAppendEnd(event);
+    quarantine_.HandleAppendEnd(event);
   }
   void HandleEvent(const DrainRequested& event);
   void HandleEvent(const Tick& event);
--- a/node/node_context.h
+++ b/node/node_context.h
@@ -49,7 +49,7 @@
   int entry_host_count = 8;
 
   // Freshness of the store's topics on this host.
-  TopicFreshness news;
+  TopicFreshness freshness;
   // Availability of the log service or the store.
   TimePoint log_answered_at;
   bool log_failed = false;
--- a/node/node_settings.h
+++ b/node/node_settings.h
@@ -63,7 +63,7 @@
   QuotaTolerance quota_tolerance;
   // Time from the store's acknowledgement of a change until it is in force
   // here.
-  FreshnessBudget news = FreshnessBudget::Within(std::chrono::seconds(2));
+  FreshnessBudget freshness = FreshnessBudget::Within(std::chrono::seconds(2));
   // Minimum duration of a drain. The platform takes some time to route callers
   // elsewhere; until then a draining host still serves them.
   Duration min_drain{0};
--- a/node/placement_lease.cc
+++ b/node/placement_lease.cc
@@ -134,14 +134,15 @@
 
 PlacementLease::Change PlacementLease::HandleRead(const LeaseRead& event) {
   if (!event.is_answered) return Change::kNone;
-  if (event.asked_at < confirmed_at_) return Change::kNone;  // Out of order.
+  if (event.requested_at < confirmed_at_)
+    return Change::kNone;  // Out of order.
   answered_at_ = context_.now;
   // An answer may have been buffered in a socket while this host was paused or
   // partitioned, and another host may have taken the lease since. The record
   // is therefore confirmed only as of the time the read was sent, not of the
   // time its answer was handled.
-  confirmed_at_ = event.asked_at;
-  if (event.asked_at >= reread_since_) needs_reread_ = false;
+  confirmed_at_ = event.requested_at;
+  if (event.requested_at >= reread_since_) needs_reread_ = false;
   log_end_ = event.end;
   const bool is_changed = !has_read_ || event.token != token_;
   has_read_ = true;
--- a/node/quarantine_manager.cc
+++ b/node/quarantine_manager.cc
@@ -183,8 +183,8 @@
   return reports_.BuildReport(token, context_.now);
 }
 
-void QuarantineManager::TakeReport(const std::string& host,
-                                   const Json& report) {
+void QuarantineManager::HandleReport(const std::string& host,
+                                     const Json& report) {
   const auto rows = inbox_.HandleReport(host, report, context_.now);
   if (!rows) {
     context_.metrics.Count("malformed_reports_total");
@@ -248,7 +248,7 @@
   return rows;
 }
 
-void QuarantineManager::TakePlan(const Json& rows) {
+void QuarantineManager::HandlePlan(const Json& rows) {
   if (!rows.is_array()) return;
   for (const Json& row : rows) {
     if (!row.is_array() || row.size() != 3 || !row[0].is_number_unsigned() ||
@@ -273,7 +273,7 @@
 
 // ---- Control stream ----
 
-void QuarantineManager::TakeControl() {
+void QuarantineManager::HandleControl() {
   const Quarantine& agreed = context_.control.quarantine();
   for (const auto& [fingerprint, until] : agreed.entries()) {
     if (until <= context_.now || from_log_.contains(fingerprint)) continue;
@@ -290,7 +290,7 @@
 
 // ---- Record in the store ----
 
-void QuarantineManager::TakeRead(const QuarantineRead& event) {
+void QuarantineManager::HandleRead(const QuarantineRead& event) {
   if (!event.is_answered) return;
   has_read_ = true;
   for (const QuarantineRecord& record : event.records) {
@@ -302,7 +302,7 @@
   }
 }
 
-void QuarantineManager::TakeAppendEnd(const QuarantineAppendEnded& event) {
+void QuarantineManager::HandleAppendEnd(const QuarantineAppendEnded& event) {
   if (!event.is_appended) return;
   const uint64_t fingerprint = event.record.fingerprint;
   const bool is_release = event.record.until == TimePoint{};
--- a/node/quarantine_manager.h
+++ b/node/quarantine_manager.h
@@ -58,7 +58,7 @@
   bool HasNewRows() const { return reports_.HasNew(); }
   // Returns the rows to send to the owner under `token` now; null if none.
   Json BuildReportRows(FencingToken token);
-  void TakeReport(const std::string& host, const Json& report);
+  void HandleReport(const std::string& host, const Json& report);
   // Returns the acknowledgement to send to `host` with its next plan; null if
   // none is due.
   Json TakeAckFor(const std::string& host) { return inbox_.TakeOwedAck(host); }
@@ -74,15 +74,15 @@
   void RenumberRows(uint64_t& last_update);
   // Returns the rows of a plan with the updates after `since`.
   Json PlanRows(uint64_t since) const;
-  void TakePlan(const Json& rows);
+  void HandlePlan(const Json& rows);
 
   // ---- Control stream, with placement by groups. Not thread-safe. ----
   // Applies the quarantines of a changed control state.
-  void TakeControl();
+  void HandleControl();
 
   // ---- Record in the store. Not thread-safe. ----
-  void TakeRead(const QuarantineRead& event);
-  void TakeAppendEnd(const QuarantineAppendEnded& event);
+  void HandleRead(const QuarantineRead& event);
+  void HandleAppendEnd(const QuarantineAppendEnded& event);
 
   // Expires quarantines, and reads, appends and releases records that are due.
   // Not thread-safe.
--- a/node/quota_manager.cc
+++ b/node/quota_manager.cc
@@ -91,7 +91,7 @@
 
 std::optional<Refusal> QuotaManager::Charge(const Team& team, double cost) {
   const QuotaDecision decision =
-      gate_.Ask(team, cost, context_.random.Unit(), context_.now);
+      gate_.Decide(team, cost, context_.random.Unit(), context_.now);
   if (decision.is_admitted) return std::nullopt;
   context_.metrics.Count(
       absl::StrFormat("quota_refused_total{team=\"%s\"}", team.name));
@@ -125,9 +125,9 @@
               {kTeams, std::move(teams)}};
 }
 
-void QuotaManager::TakeReport(const std::string& host,
-                              const std::string& data_centre,
-                              const Json& rows) {
+void QuotaManager::HandleReport(const std::string& host,
+                                const std::string& data_centre,
+                                const Json& rows) {
   if (!ledger_) return;
   ledger_->ApplyUsage(
       host, data_centre, FieldOr<uint64_t>(rows, kIncarnation, 0),
@@ -269,7 +269,7 @@
   }
 }
 
-void QuotaManager::TakePlan(const Json& rows) {
+void QuotaManager::HandlePlan(const Json& rows) {
   shares_ = ParseShares(rows.value(kTeams, Json::object()));
   known_hosts_ = std::max(1, FieldOr<int>(rows, kHosts, 1));
   gate_.ApplyShares(shares_, known_hosts_, context_.now);
--- a/node/quota_manager.h
+++ b/node/quota_manager.h
@@ -47,12 +47,12 @@
   // Returns the usage for this host's report; empty if no team has a quota. Not
   // thread-safe.
   Json ReportRows() const;
-  void TakeReport(const std::string& host, const std::string& data_centre,
-                  const Json& rows);
+  void HandleReport(const std::string& host, const std::string& data_centre,
+                    const Json& rows);
   // Returns the shares for plans to hosts of `data_centre`; empty until all
   // hosts have reported, or without quotas. Not thread-safe.
   Json PlanRows(const std::string& data_centre) const;
-  void TakePlan(const Json& rows);
+  void HandlePlan(const Json& rows);
   // Handles the usage of a host of this data centre that reaches no owner. Not
   // thread-safe.
   void HandleCentreUsage(const std::string& host, const Json& body);
--- a/node/request_decider.cc
+++ b/node/request_decider.cc
@@ -20,9 +20,9 @@
   const bool is_permanent = refusal.reason == RefusalReason::kRefusedByRule ||
                             refusal.reason == RefusalReason::kUnauthorized ||
                             refusal.reason == RefusalReason::kBadRequest;
-  if (!is_permanent || context_.news.known().empty()) return refusal;
-  const Duration age = context_.now - context_.news.OldestFreshness();
-  const FreshnessBudget& budget = context_.settings.news;
+  if (!is_permanent || context_.freshness.known().empty()) return refusal;
+  const Duration age = context_.now - context_.freshness.OldestFreshness();
+  const FreshnessBudget& budget = context_.settings.freshness;
   if (age <= budget.max_age()) return refusal;
   context_.metrics.Count("refused_by_old_rules_total");
   return NotRun(RefusalReason::kRulesMayBeOld,
--- a/node/request_flow.cc
+++ b/node/request_flow.cc
@@ -544,12 +544,12 @@
   const EngineDigest* server = context_.view.Find(request.backend);
   if (server == nullptr || request.arrival.fingerprint == 0) return;
   const CutRequest cut{request.arrival.fingerprint, event.answered_for};
-  if (!ends_.NoteCut(request.backend, cut, context_.now)) return;
+  if (!ends_.RecordCut(request.backend, cut, context_.now)) return;
   context_.Emit(ProbeServer{request.backend, std::string(server->address)});
 }
 
-void RequestFlow::TakeProbe(const ServerProbed& probed) {
-  const std::vector<CutRequest> cuts = ends_.TakeProbe(probed);
+void RequestFlow::HandleProbe(const ServerProbed& probed) {
+  const std::vector<CutRequest> cuts = ends_.HandleProbe(probed);
   if (cuts.empty()) return;
   quarantine_.RecordEnd(probed.server, cuts);
   RefuseQuarantined();
@@ -894,7 +894,8 @@
   const std::string& group = groups[state.group_rank % groups.size()];
   const Demand demand = BuildDemand(target, state);
   state.demanded_at = context_.now;
-  const std::optional<DemandAnswer> answer = groups_.TakeDemand(group, demand);
+  const std::optional<DemandAnswer> answer =
+      groups_.HandleDemand(group, demand);
   if (answer) {
     HandleDemandAnswer(*answer);
     return;
--- a/node/request_flow.h
+++ b/node/request_flow.h
@@ -42,7 +42,7 @@
   void HandleAttemptEnded(const AttemptEnded& event);
   // Handles the result of a probe for whether a server that cut requests is
   // still there. Not thread-safe.
-  void TakeProbe(const ServerProbed& probed);
+  void HandleProbe(const ServerProbed& probed);
 
   // Handle a batch of the claims stream and a failed append to it. Not
   // thread-safe.
--- a/node/request_log.cc
+++ b/node/request_log.cc
@@ -94,7 +94,7 @@
       .With("verdict", VerdictName(refusal.verdict))
       .With("reason", decision.reason)
       .With("news_age_ms",
-            ToMillis(context_.now - context_.news.OldestFreshness()));
+            ToMillis(context_.now - context_.freshness.OldestFreshness()));
   context_.decisions.Add(std::move(decision));
 }
 
--- a/node/server_ends.cc
+++ b/node/server_ends.cc
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-bool ServerEnds::NoteCut(const std::string& server, const CutRequest& cut,
-                         TimePoint now) {
+bool ServerEnds::RecordCut(const std::string& server, const CutRequest& cut,
+                           TimePoint now) {
   Probe& probe = probes_[server];
   const bool is_due = probe.cuts.empty() || now - probe.sent_at > kProbeTtl;
   if (is_due) probe = {now, {}};
@@ -21,7 +21,7 @@
   return is_due;
 }
 
-std::vector<CutRequest> ServerEnds::TakeProbe(const ServerProbed& probed) {
+std::vector<CutRequest> ServerEnds::HandleProbe(const ServerProbed& probed) {
   const auto it = probes_.find(probed.server);
   if (it == probes_.end()) return {};
   std::vector<CutRequest> cuts = std::move(it->second.cuts);
--- a/node/server_ends.h
+++ b/node/server_ends.h
@@ -26,10 +26,11 @@
  public:
   // Records a cut request. Returns true if the caller must probe the server's
   // address now. Not thread-safe.
-  bool NoteCut(const std::string& server, const CutRequest& cut, TimePoint now);
+  bool RecordCut(const std::string& server, const CutRequest& cut,
+                 TimePoint now);
   // Returns the requests that were under way when `probed.server` ended; none
   // if it still listens or its state is unknown. Not thread-safe.
-  std::vector<CutRequest> TakeProbe(const ServerProbed& probed);
+  std::vector<CutRequest> HandleProbe(const ServerProbed& probed);
 
  private:
   struct Probe {
--- a/node/store_relay.cc
+++ b/node/store_relay.cc
@@ -44,7 +44,7 @@
 void StoreRelay::SetReader(const PeerAddress& reader) {
   if (reader == reader_) return;
   reader_ = reader;
-  context_.news.RemovePending();
+  context_.freshness.RemovePending();
   follow_sent_at_ = TimePoint{};
   LogEvent(LogLevel::kInfo, "store_reader").With("reader", reader_.host);
 }
@@ -60,12 +60,12 @@
 
 TimePoint StoreRelay::RelayedFreshness() const {
   TimePoint oldest = context_.now;
-  for (const auto& [topic, state] : context_.news.known()) {
+  for (const auto& [topic, state] : context_.freshness.known()) {
     const auto relayed = relayed_freshness_.find(topic);
     if (relayed == relayed_freshness_.end()) return {};
     oldest = std::min(oldest, relayed->second);
   }
-  return context_.news.known().empty() ? TimePoint{} : oldest;
+  return context_.freshness.known().empty() ? TimePoint{} : oldest;
 }
 
 // Leaves half of the allowed staleness for the backup's answer.
@@ -74,10 +74,10 @@
 }
 
 void StoreRelay::HandleStoreUpdates(const StoreUpdatesRead& updates) {
-  context_.news.RecordOffset(updates.topic, updates.next);
+  context_.freshness.RecordOffset(updates.topic, updates.next);
   if (updates.as_of != TimePoint{}) {
-    context_.news.RecordFreshness(updates.topic, updates.next, updates.as_of,
-                                  kStoreSource);
+    context_.freshness.RecordFreshness(updates.topic, updates.next,
+                                       updates.as_of, kStoreSource);
   }
   if (!updates.records.empty()) {
     const RetainedUpdates& retained = Retain(MakeRetained(updates));
@@ -178,7 +178,7 @@
   if (context_.is_draining) return;
   follower.sent_at = context_.now;
   Json known = Json::object();
-  for (const auto& [topic, state] : context_.news.known()) {
+  for (const auto& [topic, state] : context_.freshness.known()) {
     known[topic] =
         Json::array({state.next, ToMicros(context_.now - state.as_of)});
   }
@@ -265,16 +265,16 @@
     const TimePoint as_of = stamp + held - Duration(report[1].get<int64_t>());
     TimePoint& relayed = relayed_freshness_[topic];
     relayed = std::max(relayed, as_of);
-    context_.news.RecordFreshness(topic, report[0].get<LogOffset>(), as_of,
-                                  host);
+    context_.freshness.RecordFreshness(topic, report[0].get<LogOffset>(), as_of,
+                                       host);
   }
 }
 
 absl::StatusOr<std::string> StoreRelay::DecodeRecords(
     const Json& body, const std::string& topic) const {
-  const LogOffset own = context_.news.NextOffset(topic);
+  const LogOffset own = context_.freshness.NextOffset(topic);
   const auto from = FieldOr<LogOffset>(body, "from", 0);
-  if (!context_.news.Contains(topic)) {
+  if (!context_.freshness.Contains(topic)) {
     return absl::FailedPreconditionError("the topic was not read yet");
   }
   if (own >= FieldOr<LogOffset>(body, "to", 0)) {
@@ -315,7 +315,7 @@
       .With("topic", topic)
       .With("from", from)
       .With("to", to)
-      .With("known", context_.news.NextOffset(topic))
+      .With("known", context_.freshness.NextOffset(topic))
       .With("bytes", records.ok() ? records->size() : 0)
       .With("patch_bytes", patch ? patch->size() : 0)
       .With("reader", host)
@@ -325,7 +325,7 @@
   if (!records.ok()) return;
   needs_full_records_ = false;
   context_.Emit(ApplyStoreUpdates{topic, from, to, *records});
-  context_.news.RecordOffset(topic, to);
+  context_.freshness.RecordOffset(topic, to);
   StoreUpdatesRead updates{.topic = topic, .from = from, .next = to};
   updates.records = *std::move(records);
   Retain({std::move(updates), context_.now, patch.value_or(""),
@@ -334,7 +334,7 @@
 
 void StoreRelay::SendFollow(const PeerAddress& reader) {
   Json next = Json::object();
-  for (const auto& [topic, state] : context_.news.known()) {
+  for (const auto& [topic, state] : context_.freshness.known()) {
     next[topic] = state.next;
   }
   context_.Emit(SendPeer{reader.host,
@@ -361,8 +361,9 @@
            is_reading ? "store_read_own" : "store_read_relayed")
       .With("reader", reader_.host)
       .With("proof_age_ms", ToMillis(RelayedStaleness()))
-      .With("caught_up", context_.news.IsCaughtUp() ? "yes" : "no");
-  context_.Emit(SetStorePolling{is_reading, context_.news.OldestFreshness()});
+      .With("caught_up", context_.freshness.IsCaughtUp() ? "yes" : "no");
+  context_.Emit(
+      SetStorePolling{is_reading, context_.freshness.OldestFreshness()});
 }
 
 void StoreRelay::RunTick() {
@@ -388,11 +389,11 @@
   }
   // The reader sends missing records again. Waiting for that until this host's
   // own topics are too stale spares the store a read by each of many followers.
-  const Duration age = context_.now - context_.news.OldestFreshness();
+  const Duration age = context_.now - context_.freshness.OldestFreshness();
   SetReading(std::max(age, RelayedStaleness()) > budget().max_staleness);
   if (is_reading_) return;
   // Freshness that the reader reports also shows that the store is available.
-  const TimePoint as_of = context_.news.OldestFreshness();
+  const TimePoint as_of = context_.freshness.OldestFreshness();
   if (as_of > std::max(context_.log_answered_at, context_.log_failed_at)) {
     context_.RecordLogResponse(as_of);
   }
@@ -402,7 +403,7 @@
   return Json{{"reader", reader_.host},
               {"reads_itself", is_reading_},
               {"followers", followers_.size()},
-              {"topics", context_.news.ToJson(context_.now)}};
+              {"topics", context_.freshness.ToJson(context_.now)}};
 }
 
 }  // namespace applehall
--- a/node/store_relay.h
+++ b/node/store_relay.h
@@ -81,7 +81,7 @@
     uint64_t base_hash = 0;  // Of the preceding record.
   };
 
-  const FreshnessBudget& budget() const { return context_.settings.news; }
+  const FreshnessBudget& budget() const { return context_.settings.freshness; }
   Duration RelayedStaleness() const {
     return context_.now - RelayedFreshness();
   }
--- a/placement/engine_owner.cc
+++ b/placement/engine_owner.cc
@@ -99,7 +99,7 @@
   return static_cast<int>(open);
 }
 
-void EngineOwner::TakeDemand(const Demand& demand, TimePoint now) {
+void EngineOwner::HandleDemand(const Demand& demand, TimePoint now) {
   demands_[{demand.target, demand.host}] = {demand, now};
   if (demand.waiting <= 0) return;
   demanded_until_[demand.target] = now + kDemandTtl;
@@ -148,8 +148,8 @@
   }
 }
 
-void EngineOwner::TakeInventory(const Inventory& inventory,
-                                TimePoint requested_at, TimePoint now) {
+void EngineOwner::HandleInventory(const Inventory& inventory,
+                                  TimePoint requested_at, TimePoint now) {
   const auto it = engines_.find(inventory.engine);
   if (it == engines_.end()) return;
   EngineState& engine = it->second;
--- a/placement/engine_owner.h
+++ b/placement/engine_owner.h
@@ -82,10 +82,10 @@
   void SetUnfencedBlocked(bool blocked, TimePoint now);
   // Records a host's demand. It is valid until replaced, or for kDemandTtl.
   // Not thread-safe.
-  void TakeDemand(const Demand& demand, TimePoint now);
+  void HandleDemand(const Demand& demand, TimePoint now);
   // Handles an engine's answer to an order or inspection. Not thread-safe.
-  void TakeInventory(const Inventory& inventory, TimePoint requested_at,
-                     TimePoint now);
+  void HandleInventory(const Inventory& inventory, TimePoint requested_at,
+                       TimePoint now);
   // Appends due inspections and new orders to `orders`. `quota` returns this
   // group's share of a data-centre-wide bound. Not thread-safe.
   void Decide(const PlacementPolicy& policy, StoreBudget& store,
--- a/placement/fleet_planner.cc
+++ b/placement/fleet_planner.cc
@@ -380,7 +380,7 @@
   RecordChange(engine);
 }
 
-void FleetPlanner::TakeReport(const HostReport& report, TimePoint now) {
+void FleetPlanner::HandleReport(const HostReport& report, TimePoint now) {
   usage_.ApplyReport(report, now);
   IndexHoldings();
   for (const HostReport::Waiting& row : report.waiting) {
@@ -400,8 +400,8 @@
   }
 }
 
-void FleetPlanner::TakeInventory(const Inventory& inventory,
-                                 TimePoint requested_at, TimePoint now) {
+void FleetPlanner::HandleInventory(const Inventory& inventory,
+                                   TimePoint requested_at, TimePoint now) {
   const auto it = engines_.find(inventory.engine);
   if (it == engines_.end()) return;
   Engine& engine = it->second;
@@ -644,9 +644,9 @@
   RecordChange(engine);
 }
 
-void FleetPlanner::TakeOrderResult(const std::string& engine_id,
-                                   const std::string& order_id,
-                                   OrderResult result, TimePoint now) {
+void FleetPlanner::HandleOrderResult(const std::string& engine_id,
+                                     const std::string& order_id,
+                                     OrderResult result, TimePoint now) {
   const auto it = engines_.find(engine_id);
   if (it == engines_.end()) return;
   Engine& engine = it->second;
@@ -722,8 +722,8 @@
 void FleetPlanner::ExpireCalls(TimePoint now) {
   for (auto& [id, engine] : engines_) {
     if (!engine.call || now - engine.call->sent_at < kCallTimeout) continue;
-    TakeOrderResult(id, std::string(engine.call->id), OrderResult::kUnanswered,
-                    now);
+    HandleOrderResult(id, std::string(engine.call->id),
+                      OrderResult::kUnanswered, now);
   }
 }
 
--- a/placement/fleet_planner.h
+++ b/placement/fleet_planner.h
@@ -44,13 +44,13 @@
     limits_ = std::move(limits);
   }
   // Handles one host's report of waiting and running requests. Not thread-safe.
-  void TakeReport(const HostReport& report, TimePoint now);
+  void HandleReport(const HostReport& report, TimePoint now);
   // Handles an engine's report. Not thread-safe.
-  void TakeInventory(const Inventory& inventory, TimePoint requested_at,
-                     TimePoint now);
+  void HandleInventory(const Inventory& inventory, TimePoint requested_at,
+                       TimePoint now);
   // Handles an engine's answer to an order. Not thread-safe.
-  void TakeOrderResult(const std::string& engine, const std::string& order_id,
-                       OrderResult result, TimePoint now);
+  void HandleOrderResult(const std::string& engine, const std::string& order_id,
+                         OrderResult result, TimePoint now);
   // Appends due report requests and, if `may_order`, new orders to `orders`.
   // Not thread-safe.
   void Decide(bool may_order, TimePoint now, std::vector<OrderToSend>& orders);
--- a/routing/engine_view.cc
+++ b/routing/engine_view.cc
@@ -84,7 +84,7 @@
   if (it != engines_.end()) it->second.is_leaving = leaving;
 }
 
-void EngineView::Forget(const std::string& engine) {
+void EngineView::Remove(const std::string& engine) {
   const auto it = engines_.find(engine);
   if (it == engines_.end()) return;
   for (const std::string& target : it->second.digest.ready) {
--- a/routing/engine_view.h
+++ b/routing/engine_view.h
@@ -37,7 +37,7 @@
   // Marks an engine that leaves or has left according to the host list; it gets
   // no new requests. Not thread-safe.
   void SetLeaving(const std::string& engine, bool leaving);
-  void Forget(const std::string& engine);
+  void Remove(const std::string& engine);
 
   // Returns an engine that is ready for `target` and may accept one more
   // request; null if none. `prefix_hash` zero means no affinity. Not
--- a/standins/deployment.cc
+++ b/standins/deployment.cc
@@ -329,7 +329,7 @@
   const auto it = engines_.find(action.engine);
   if (it == engines_.end() || failing_engines_.contains(action.engine)) return;
   if (IsCut(host, action.engine)) return;
-  const TimePoint asked_at = now_;
+  const TimePoint requested_at = now_;
   const Inventory inventory = it->second->HandleOrder(action.order, now_);
   if (action.order.kind != OrderKind::kInspect) CheckEngines();
   // Answers are lost and delayed at the same rates as orders.
@@ -339,7 +339,8 @@
     // Ages are relative in the wire format, so times shift by the delay.
     Post(host, epoch,
          InventoryReceived{
-             Inventory::FromJson(inventory.ToJson(asked_at), now_), asked_at});
+             Inventory::FromJson(inventory.ToJson(requested_at), now_),
+             requested_at});
   });
 }
 
--- a/tests/admission/permit_ledger_test.cc
+++ b/tests/admission/permit_ledger_test.cc
@@ -18,27 +18,27 @@
 class PermitLedgerTest : public testing::Test {
  protected:
   void SetUp() override {
-    ledger_.NoteHost("a", now_);
+    ledger_.RecordHostContact("a", now_);
     ledger_.SetLimit(kServer, 1, now_);
   }
 
-  uint64_t Ask(Duration patience, double worth = 1,
-               const std::string& caller = "c") {
+  uint64_t RequestPermit(Duration max_wait, double worth = 1,
+                         const std::string& caller = "c") {
     HostPermitRequest request;
     request.host = "a";
     request.id = ++last_id_;
     request.server = kServer;
     request.caller = caller;
     request.worth = worth;
-    request.patience = patience;
-    ledger_.Ask(request, now_);
+    request.max_wait = max_wait;
+    ledger_.RequestPermit(request, now_);
     Collect();
     return request.id;
   }
   void Run(Duration duration) {
     for (const TimePoint end = now_ + duration; now_ < end;) {
       now_ += milliseconds(25);
-      ledger_.NoteHost("a", now_);
+      ledger_.RecordHostContact("a", now_);
       ledger_.Serve(now_);
       Collect();
     }
@@ -65,8 +65,8 @@
 // Guards against requests that wait for a permit that comes too late, while
 // their callers could have gone elsewhere.
 TEST_F(PermitLedgerTest, RequestThatCannotBeServedInTimeIsRefusedAtOnce) {
-  const uint64_t first = Ask(milliseconds(1500));
-  const uint64_t second = Ask(milliseconds(1500));
+  const uint64_t first = RequestPermit(milliseconds(1500));
+  const uint64_t second = RequestPermit(milliseconds(1500));
   EXPECT_FALSE(Granted(first).has_value());
   EXPECT_EQ(Granted(second), false);
   EXPECT_GE(answers_[second].retry_after, milliseconds(1500));
@@ -76,17 +76,17 @@
 }
 
 TEST_F(PermitLedgerTest, RequestWithoutMaxWaitIsAnsweredAtOnce) {
-  const uint64_t id = Ask(Duration{0});
+  const uint64_t id = RequestPermit(Duration{0});
   EXPECT_EQ(Granted(id), false);
   Run(milliseconds(1200));
-  EXPECT_EQ(Granted(Ask(Duration{0})), true);
+  EXPECT_EQ(Granted(RequestPermit(Duration{0})), true);
 }
 
 // Permits go to the request with the highest worth, regardless of arrival
 // order.
 TEST_F(PermitLedgerTest, HigherWorthIsGrantedFirst) {
-  const uint64_t low = Ask(milliseconds(1500), 1);
-  const uint64_t high = Ask(milliseconds(1500), 30);
+  const uint64_t low = RequestPermit(milliseconds(1500), 1);
+  const uint64_t high = RequestPermit(milliseconds(1500), 30);
   Run(milliseconds(1200));
   EXPECT_EQ(Granted(high), true);
   EXPECT_EQ(Granted(low), false);
@@ -95,33 +95,33 @@
 // Guards against one caller that fills the queue of a limited server.
 TEST_F(PermitLedgerTest, BurstOfOneCallerDoesNotBlockOthers) {
   ledger_.SetLimit(kServer, 2, now_);
-  for (int i = 0; i < 50; ++i) Ask(seconds(4), 1, "greedy");
-  const uint64_t other = Ask(seconds(4), 1, "other");
+  for (int i = 0; i < 50; ++i) RequestPermit(seconds(4), 1, "greedy");
+  const uint64_t other = RequestPermit(seconds(4), 1, "other");
   Run(seconds(2));
   EXPECT_EQ(Granted(other), true);
 }
 
 TEST_F(PermitLedgerTest, LiftedLimitGrantsAllWaitingRequests) {
-  const uint64_t first = Ask(milliseconds(1500));
+  const uint64_t first = RequestPermit(milliseconds(1500));
   ledger_.Lift(kServer, now_);
   Collect();
   EXPECT_EQ(Granted(first), true);
-  EXPECT_EQ(Granted(Ask(Duration{0})), true);
+  EXPECT_EQ(Granted(RequestPermit(Duration{0})), true);
 }
 
 // Guards against an owner that grants permits which unreachable hosts use
 // without asking.
 TEST_F(PermitLedgerTest, PartOfUnreachableHostsIsSetAside) {
   PermitLedger ledger(2);
-  ledger.NoteHost("a", now_);
-  ledger.NoteHost("b", now_);
+  ledger.RecordHostContact("a", now_);
+  ledger.RecordHostContact("b", now_);
   ledger.SetLimit(kServer, 10, now_);
   int granted = 0;
   for (int i = 0; i < 400; ++i) {
     now_ += milliseconds(25);
-    ledger.NoteHost("a", now_);
-    ledger.Ask({"a", static_cast<uint64_t>(i), kServer, "c", 1, false, {}},
-               now_);
+    ledger.RecordHostContact("a", now_);
+    ledger.RequestPermit(
+        {"a", static_cast<uint64_t>(i), kServer, "c", 1, false, {}}, now_);
     for (const PermitAnswer& answer : ledger.TakeAnswers()) {
       if (now_ >= TimePoint{std::chrono::hours(500000)} + seconds(2)) {
         granted += answer.is_granted ? 1 : 0;
--- a/tests/admission/quota_fixture.h
+++ b/tests/admission/quota_fixture.h
@@ -221,16 +221,16 @@
     // Requests arrive one by one, at irregular times and of varying cost.
     while (tokens > 0) {
       const double cost = load.cost * (0.2 + 1.6 * random_.Unit());
-      if (random_.Unit() * cost < tokens) Ask(name, load, cost);
+      if (random_.Unit() * cost < tokens) SendRequest(name, load, cost);
       tokens -= cost;
     }
   }
 
-  void Ask(const std::string& name, const Load& load, double cost) {
+  void SendRequest(const std::string& name, const Load& load, double cost) {
     const size_t host = load.callers[random_.Below(load.callers.size())];
     counts_[name].requested += cost;
     const QuotaDecision decision =
-        hosts_[host].gate->Ask(load.team, cost, random_.Unit(), now_);
+        hosts_[host].gate->Decide(load.team, cost, random_.Unit(), now_);
     if (!decision.is_admitted) return;
     counts_[name].admitted += cost;
     admitted_[name].push_back({now_, cost});
--- a/tests/admission/quota_test.cc
+++ b/tests/admission/quota_test.cc
@@ -187,7 +187,7 @@
   team.name = "t";
   team.quota = {100, 100};
   const TimePoint now{std::chrono::hours(500000)};
-  ASSERT_TRUE(gate.Ask(team, 40, 0.5, now).is_admitted);
+  ASSERT_TRUE(gate.Decide(team, 40, 0.5, now).is_admitted);
   EXPECT_EQ(gate.Usage(now)["t"].admitted, 40);
   gate.GiveBack("t", 40);
   EXPECT_EQ(gate.Usage(now)["t"].admitted, 0);
--- a/tests/node/differential_test.cc
+++ b/tests/node/differential_test.cc
@@ -284,7 +284,7 @@
   struct Answer {
     Inventory inventory;
     size_t owner = 0;
-    TimePoint asked_at;
+    TimePoint requested_at;
   };
   TimePoint now = kStart;
   std::vector<Owner> owners;
@@ -362,8 +362,8 @@
     if (!answers.empty() && random.Below(2) == 0) {
       const size_t at = random.Below(answers.size());
       const Answer& answer = answers[at];
-      owners[answer.owner].ledger.Reconcile(answer.inventory, answer.asked_at,
-                                            now);
+      owners[answer.owner].ledger.Reconcile(answer.inventory,
+                                            answer.requested_at, now);
       if (random.Below(3) != 0) {
         answers.erase(answers.begin() + static_cast<long>(at));
       }
--- a/tests/node/fleet_fixture.h
+++ b/tests/node/fleet_fixture.h
@@ -121,7 +121,7 @@
     if (const auto* read = std::get_if<ReadLease>(&action)) {
       if (host.is_cut_from_store) return;
       pending_.push_back(
-          {name, LeaseRead{true, lease_, token_, end_, read->asked_at}});
+          {name, LeaseRead{true, lease_, token_, end_, read->requested_at}});
     } else if (const auto* append = std::get_if<AppendLease>(&action)) {
       if (host.is_cut_from_store) return;
       const bool is_granted = append->end == end_;
--- a/tests/node/limit_fleet.h
+++ b/tests/node/limit_fleet.h
@@ -263,7 +263,7 @@
         break;
       case PeerMessageType::kFleetReport:
         host.manager->RecordHostContact(from);
-        host.manager->TakeReport(from, body["limits"], servers_);
+        host.manager->HandleReport(from, body["limits"], servers_);
         break;
       case PeerMessageType::kFleetPlan: {
         const FencingToken token = body["k"].get<FencingToken>();
@@ -272,7 +272,7 @@
         host.owner = message.from;
         host.plan_received_at = now_;
         host.context->entry_host_count = static_cast<int>(size());
-        host.manager->TakePlan(body["limits"], token, servers_);
+        host.manager->HandlePlan(body["limits"], token, servers_);
         break;
       }
       default:
--- a/tests/node/limit_registry_test.cc
+++ b/tests/node/limit_registry_test.cc
@@ -33,11 +33,12 @@
   // hosts.
   void Exchange(LimitRegistry& host, LimitRegistry& other) {
     now_ += milliseconds(20);
-    owner_.TakeReport(host.ReportRows(kToken, servers_, now_), servers_, now_);
+    owner_.HandleReport(host.ReportRows(kToken, servers_, now_), servers_,
+                        now_);
     owner_.NumberRows(last_update_);
     const Json rows = owner_.PlanRows(0, servers_, now_);
-    host.TakePlan(rows, kToken, servers_, now_);
-    other.TakePlan(rows, kToken, servers_, now_);
+    host.HandlePlan(rows, kToken, servers_, now_);
+    other.HandlePlan(rows, kToken, servers_, now_);
     now_ += milliseconds(20);
   }
 
@@ -113,7 +114,7 @@
   EngineList earlier = servers_;
   earlier[kServer].started_at = sent_before;
   b_.ApplyReported(kServer, Named(0.5), now_, now_);
-  owner_.TakeReport(b_.ReportRows(kToken, earlier, now_), servers_, now_);
+  owner_.HandleReport(b_.ReportRows(kToken, earlier, now_), servers_, now_);
   EXPECT_FALSE(owner_.Find(kServer).has_value());
 }
 
@@ -140,7 +141,7 @@
   a_.ApplyReported(kServer, Named(2), now_, now_);
   Exchange(a_, b_);
   LimitRegistry next;
-  next.TakeReport(a_.ReportRows(kToken + 1, servers_, now_), servers_, now_);
+  next.HandleReport(a_.ReportRows(kToken + 1, servers_, now_), servers_, now_);
   EXPECT_EQ(next.Find(kServer), 2);
 }
 
@@ -158,8 +159,8 @@
     }
     const Json rows = Json::parse(mutated, nullptr, /*allow_exceptions=*/false);
     LimitRegistry registry;
-    registry.TakeReport(rows, servers_, now_);
-    registry.TakePlan(rows, kToken, servers_, now_);
+    registry.HandleReport(rows, servers_, now_);
+    registry.HandlePlan(rows, kToken, servers_, now_);
     for (const auto& [server, per_second] : registry.Limits()) {
       EXPECT_GE(per_second, 0) << mutated;
     }
@@ -168,8 +169,8 @@
        {"null", "3", "{}", R"([["i-1"]])", R"([["i-1",0,"x",0,0]])",
         R"([["i-1",0,1,0,-1]])", R"([["i-1",0,1,-5,0,9]])"}) {
     LimitRegistry registry;
-    registry.TakeReport(*ParseJson(rows), servers_, now_);
-    registry.TakePlan(*ParseJson(rows), kToken, servers_, now_);
+    registry.HandleReport(*ParseJson(rows), servers_, now_);
+    registry.HandlePlan(*ParseJson(rows), kToken, servers_, now_);
     EXPECT_TRUE(registry.Limits().empty()) << rows;
   }
 }
--- a/tests/node/quarantine_test.cc
+++ b/tests/node/quarantine_test.cc
@@ -343,9 +343,9 @@
   EXPECT_EQ(reads(false, false), 5u) << "10 s, each 2 s";
   EXPECT_EQ(reads(false, true), 0u);
   EXPECT_EQ(reads(true, false), 5u);
-  manager.TakeRead({false, {}});
+  manager.HandleRead({false, {}});
   EXPECT_EQ(reads(true, false), 5u);
-  manager.TakeRead({true, {}});
+  manager.HandleRead({true, {}});
   EXPECT_EQ(reads(true, false), 0u);
   reads(false, true);
   EXPECT_EQ(reads(true, false), 5u) << "after it became the owner again";
--- a/tests/node/store_relay_test.cc
+++ b/tests/node/store_relay_test.cc
@@ -26,7 +26,7 @@
       NodeSettings settings;
       settings.self = {name, 1};
       settings.peer_address = name;
-      settings.news = kBudget;
+      settings.freshness = kBudget;
       return settings;
     }
     NodeContext context;
--- a/tests/node/update_fleet.h
+++ b/tests/node/update_fleet.h
@@ -103,7 +103,7 @@
     settings.self = {name, 1};
     settings.peer_address = name;
     settings.link_mbps = mbps;
-    settings.news = budget_;
+    settings.freshness = budget_;
     auto& host = hosts_[name];
     host = std::make_unique<Host>(settings);
     host->up.bytes_per_second = mbps * kBytesPerMegabit;
@@ -333,7 +333,7 @@
     ++reading.calls;
     const Duration wait = UntilRenewal(reading);
     const LogOffset from = reading.next;
-    const TimePoint asked_at = now_;
+    const TimePoint requested_at = now_;
     const bool reads_newest =
         topic == kConfigTopic && now_ - reading.as_of > budget_.bound;
     // The timeout only applies until the headers of the answer are received.
@@ -345,8 +345,8 @@
     const TimePoint gone = host.up.Send(kRequestBytes, now_);
     if (is_unanswered) return;
     Schedule(gone + kOneWay,
-             [this, name, topic, call, from, wait, asked_at, reads_newest] {
-               calls_[call] = {asked_at, wait};
+             [this, name, topic, call, from, wait, requested_at, reads_newest] {
+               calls_[call] = {requested_at, wait};
                if (reads_newest) {
                  AnswerWithNewest(name, topic, call);
                  return;
@@ -421,11 +421,11 @@
     }
     reading.call = 0;
     reading.retry_pause = Duration{0};
-    const auto [asked_at, wait] = calls_.at(call);
+    const auto [requested_at, wait] = calls_.at(call);
     calls_.erase(call);
     const bool has_updates = to > reading.next;
     answers_begun_.erase(call);
-    const TimePoint as_of = to == 0 ? asked_at + wait : asked_at;
+    const TimePoint as_of = to == 0 ? requested_at + wait : requested_at;
     reading.as_of = std::max(reading.as_of, as_of);
     if (has_updates) reading.next = to;
     RunOn(name, [&](Host& h) {
--- a/tests/placement/engine_owner_test.cc
+++ b/tests/placement/engine_owner_test.cc
@@ -38,7 +38,7 @@
   // Delivers the engine's answer to a request that was sent `age` ago.
   void Report(const std::string& name, Duration age = Duration{0}) {
     ++inventories_[name].sequence;
-    owner_.TakeInventory(inventories_[name], now_ - age, now_);
+    owner_.HandleInventory(inventories_[name], now_ - age, now_);
   }
 
   void Restart(const std::string& name) {
@@ -49,7 +49,7 @@
 
   // Returns the load orders for one request that waits for `model`.
   std::vector<OrderToSend> LoadsFor(const std::string& model) {
-    owner_.TakeDemand({model, "entry-1", 1, 1.0, seconds(20), false}, now_);
+    owner_.HandleDemand({model, "entry-1", 1, 1.0, seconds(20), false}, now_);
     std::vector<OrderToSend> orders;
     owner_.Decide(
         policy_, store_, [](const std::string&, int) { return kMaxReplicas; },
--- a/tests/placement/fleet_planner_test.cc
+++ b/tests/placement/fleet_planner_test.cc
@@ -72,7 +72,7 @@
     if (arrivals > 0) {
       report.arrivals.push_back({target, arrivals, arrivals * worth});
     }
-    planner_->TakeReport(report, now_);
+    planner_->HandleReport(report, now_);
   }
 
   // Simulates 20 ms: ends of orders, decisions, new orders and their answers.
@@ -109,7 +109,7 @@
     if (sent.order.kind == OrderKind::kInspect) {
       ++report_requests_;
       if (report_lag_ > Duration{0}) return;  // Later than the test.
-      planner_->TakeInventory(engine.Report(), now_, now_);
+      planner_->HandleInventory(engine.Report(), now_, now_);
       return;
     }
     sent_.push_back(sent);
@@ -132,7 +132,7 @@
   }
 
   void Answer(const OrderToSend& sent, OrderResult result) {
-    planner_->TakeOrderResult(sent.engine, sent.order.id, result, now_);
+    planner_->HandleOrderResult(sent.engine, sent.order.id, result, now_);
   }
 
   void DeliverLate() {
@@ -304,7 +304,7 @@
   for (int i = 40; i < 60; ++i) {
     report.waiting.push_back({ModelName(i), 1, 5.0, seconds(20)});
   }
-  planner_->TakeReport(report, now_);
+  planner_->HandleReport(report, now_);
   Step();
   Duration longest{0};
   for (int i = 40; i < 60; ++i) {
@@ -354,7 +354,7 @@
   planner_->SetCatalogue(&catalogue_, &classes_);
   Report(ModelName(0), 1);  // A host missed the plan: requests a report.
   std::vector<OrderToSend> orders;
-  planner_->TakeInventory(engine.Report(), now_, now_);
+  planner_->HandleInventory(engine.Report(), now_, now_);
   now_ += seconds(6);
   engine.Advance(now_);
   Report(ModelName(3), 1);
@@ -388,7 +388,7 @@
   const Inventory lagging = engine.Report();
   load_earlier(6);
   load_earlier(7);
-  planner_->TakeInventory(lagging, now_, now_);
+  planner_->HandleInventory(lagging, now_, now_);
   for (int i = 8; i <= 12; ++i) {
     Report(adapter(i), 1);
     Run(milliseconds(200));
@@ -581,7 +581,7 @@
     report.waiting.push_back({ModelName(cold), 1, 5.0, seconds(20)});
   }
   for (int i = 0; i < 100; ++i) {
-    planner_->TakeReport(report, now_);
+    planner_->HandleReport(report, now_);
     Step();
     const Json dump = planner_->ToJson(now_);
     ASSERT_LE(dump["store_loads"].get<double>(),
@@ -674,9 +674,9 @@
   const Inventory old = engines_.at("e0")->Report();
   engines_.at("e0")->Restart(now_ + seconds(1));
   // The new report arrives before the listing.
-  planner_->TakeInventory(engines_.at("e0")->Report(), now_, now_);
+  planner_->HandleInventory(engines_.at("e0")->Report(), now_, now_);
   EXPECT_FALSE(IsReady(ModelName(2)));
-  planner_->TakeInventory(old, now_, now_);
+  planner_->HandleInventory(old, now_, now_);
   EXPECT_FALSE(IsReady(ModelName(2)));
 }
 
--- a/tests/platform/edge_settings_test.cc
+++ b/tests/platform/edge_settings_test.cc
@@ -125,7 +125,8 @@
   EXPECT_GT(settings->node.max_drain, std::chrono::seconds(7));
   EXPECT_LT(settings->node.max_drain, std::chrono::milliseconds(8500));
   EXPECT_EQ(settings->node.order_lease, std::chrono::microseconds(2999500));
-  EXPECT_EQ(settings->node.news.max_staleness, std::chrono::milliseconds(2500));
+  EXPECT_EQ(settings->node.freshness.max_staleness,
+            std::chrono::milliseconds(2500));
 }
 
 // Hosts must start with valid values, whatever a single bound contains.
@@ -151,7 +152,7 @@
       EXPECT_GE(node.retry_slack, 0) << value;
       EXPECT_GT(node.max_drain, Duration{0}) << name << " " << value;
       EXPECT_GT(node.order_lease, Duration{0}) << name << " " << value;
-      EXPECT_GT(node.news.renewal_interval, Duration{0})
+      EXPECT_GT(node.freshness.renewal_interval, Duration{0})
           << name << " " << value;
     }
     Json fields = PlatformFields();
