--- a/admission/quota_ledger.cc
+++ b/admission/quota_ledger.cc
@@ -91,7 +91,7 @@
   }
 }
 
-// Charges the parts of hosts that the previous owner knew and that have not
+// Charges the parts of hosts that the previous owner recorded and that have not
 // reported to this one. They may still be serving; without the charge a team
 // would get its quota twice when an owner is lost together with the hosts
 // around it.
--- a/claims/claim_guard.cc
+++ b/claims/claim_guard.cc
@@ -98,7 +98,7 @@
     ApplyOutcome(outcome, now);
   }
   if (batch_id_.empty()) return;
-  // Reading the own record back completes the append, answered or not.
+  // Reading the host's record back completes the append, answered or not.
   const std::string needle = Json(batch_id_).dump();
   const bool is_read_back = std::any_of(
       batch.records.begin(), batch.records.end(), [&](const LogRecord& record) {
